--- a/src/agent/core/mod.rs
+++ b/src/agent/core/mod.rs
@@ -12,7 +12,7 @@
 use crate::{
     agent::{
         endpoints::{Announcement, Endpoints, ExecutionId, ExecutorCall, ExecutorResult},
-        seen::{AttemptId, Seen},
+        seen_attempts::{AttemptId, Seen},
         tasks::{Tasks, WorkerCall, WorkerResult},
     },
     config::Adopted,
--- a/src/agent/core/requests.rs
+++ b/src/agent/core/requests.rs
@@ -6,7 +6,7 @@
     agent::{
         core::{AgentCore, Effect, Execution},
         endpoints::{ExecutionId, ExecutorCall, ExecutorResult, Queued},
-        seen::{AttemptId, Fate},
+        seen_attempts::{AttemptId, Fate},
     },
     prelude::*,
     util::checksum,
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -5,7 +5,7 @@
 
 mod core;
 mod endpoints;
-mod seen;
+mod seen_attempts;
 mod tasks;
 
 pub use self::{
--- a/src/bench/batch.rs
+++ b/src/bench/batch.rs
@@ -10,7 +10,7 @@
         Scheduler, SchedulerOptions,
         state::{Change, State},
     },
-    policy::order::Rule,
+    policy::task_queue::Rule,
     prelude::*,
     util::Place,
 };
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,9 +1,9 @@
 //! Settings of a process, and the configuration that it has adopted.
 
-mod adopted;
+mod adopted_configuration;
 mod settings;
 
 pub use self::{
-    adopted::Adopted,
+    adopted_configuration::Adopted,
     settings::{Problem, load_settings, parse_settings, settings_page},
 };
--- a/src/control/client.rs
+++ b/src/control/client.rs
@@ -6,7 +6,7 @@
 use std::{collections::HashMap, net::SocketAddr};
 
 use crate::{
-    control::{finder::Finder, state::Outcome},
+    control::{leader_finder::Finder, state::Outcome},
     prelude::*,
 };
 
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -1,7 +1,7 @@
 //! One member of a control group, without its I/O.
 
-mod keeper;
-mod lines;
+mod event_logging;
+mod membership_manager;
 mod operations;
 mod reports;
 mod workflows;
@@ -129,7 +129,7 @@
     heard_from: BTreeMap<MemberId, SocketAddr>,
     /// Workflow calls that wait for their entry: its term, and whom to answer.
     calls_waiting: BTreeMap<u64, (u64, workflows::CallReply)>,
-    keeper: keeper::Keeper,
+    keeper: membership_manager::Keeper,
     client: ControlClient<u64>,
     disk_full: bool,
     disk_refuses: bool,
@@ -160,7 +160,7 @@
             waiting: BTreeMap::new(),
             heard_from: BTreeMap::new(),
             calls_waiting: BTreeMap::new(),
-            keeper: keeper::Keeper::default(),
+            keeper: membership_manager::Keeper::default(),
             client,
             disk_full: false,
             disk_refuses: false,
--- a/src/control/core/workflows.rs
+++ b/src/control/core/workflows.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     control::{
-        core::{ControlCore, Effect, lines},
+        core::{ControlCore, Effect, event_logging},
         dispatch::{Dispatcher, Verdict},
         state::Change,
     },
@@ -63,10 +63,11 @@
     ) -> WorkflowOutcome {
         // Once for the group, by the member that decides.
         let is_logged = self.leading.is_some();
-        let expected = if is_logged { lines::expected(&self.state, command) } else { Vec::new() };
+        let expected =
+            if is_logged { event_logging::expected(&self.state, command) } else { Vec::new() };
         let outcome = self.state.apply_workflow(entry.index, entry.time_ms, command);
         if is_logged {
-            lines::log_applied(&self.state, command, entry, &outcome, &expected);
+            event_logging::log_applied(&self.state, command, entry, &outcome, &expected);
         }
         let members = self.member_addresses();
         if let Some(leading) = &mut self.leading
--- a/src/control/dispatch/rooms.rs
+++ b/src/control/dispatch/capacity.rs
@@ -9,14 +9,14 @@
 use crate::{
     control::{
         dispatch::{
+            run_monitor::Work,
             sessions::{Sessions, Usable},
-            watch::Work,
         },
         state::{Worker, Workflows, add, fits, reserve_of, subtract},
     },
     policy::{
-        harm::{Filler, Harm, MEAN_USE_SHARE, images::ImageKey, reference_cores},
-        pacing::NEGLIGIBLE_PERCENT,
+        contention::{Filler, Harm, MEAN_USE_SHARE, images::ImageKey, reference_cores},
+        throttling::NEGLIGIBLE_PERCENT,
     },
     prelude::*,
 };
--- a/src/control/dispatch/losses.rs
+++ b/src/control/dispatch/lost_workers.rs
@@ -7,7 +7,7 @@
         dispatch::{Dispatcher, run_name, sessions::Session},
         state::{Worker, Workflows},
     },
-    policy::suspicion::is_outlived,
+    policy::crash_evidence::is_outlived,
     prelude::*,
 };
 
--- a/src/control/dispatch/mod.rs
+++ b/src/control/dispatch/mod.rs
@@ -1,31 +1,31 @@
 //! What the leader does about workflows: it takes the nodes' reports, grants leases, places runs
 //! and turns what the ledger holds into orders.
 
-mod losses;
+mod capacity;
+mod lost_workers;
 mod orders;
 mod plan;
+mod probations;
 mod requests;
 mod retention;
-mod rooms;
+mod run_monitor;
 mod sessions;
-mod trials;
-mod watch;
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
 use crate::{
     control::state::Workflows,
-    policy::harm::{Filler, Harm, Serving, headroom_percent, reference_cores},
+    policy::contention::{Filler, Harm, Serving, headroom_percent, reference_cores},
     prelude::*,
 };
 
 use self::{
-    losses::Loss,
+    capacity::Rooms,
+    lost_workers::Loss,
+    probations::Trials,
     retention::Readings,
-    rooms::Rooms,
+    run_monitor::{Watch, Work},
     sessions::{Sessions, SlowRun, Usable},
-    trials::Trials,
-    watch::{Watch, Work},
 };
 pub use self::{orders::run_name, plan::PlanOptions, requests::Verdict, sessions::Session};
 
--- a/src/control/dispatch/orders.rs
+++ b/src/control/dispatch/orders.rs
@@ -7,7 +7,9 @@
 
 use crate::{
     control::{
-        dispatch::{Dispatcher, LOAD_PAUSE_MS, PLAN_PAUSE_MS, losses::Loss, sessions::Session},
+        dispatch::{
+            Dispatcher, LOAD_PAUSE_MS, PLAN_PAUSE_MS, lost_workers::Loss, sessions::Session,
+        },
         state::{NOTHING, Worker, Workflows, fits},
     },
     prelude::*,
--- a/src/control/dispatch/plan/placing.rs
+++ b/src/control/dispatch/plan/builder.rs
@@ -8,13 +8,13 @@
 use crate::{
     control::{
         dispatch::{
-            rooms::{Asked, Care, Preference, Room},
-            trials::Trials,
-            watch::Work,
+            capacity::{Asked, Care, Preference, Room},
+            probations::Trials,
+            run_monitor::Work,
         },
         state::{StepState, Workflow, Workflows},
     },
-    policy::harm::{Harm, images::ImageKey},
+    policy::contention::{Harm, images::ImageKey},
     prelude::*,
 };
 
--- a/src/control/dispatch/plan/mod.rs
+++ b/src/control/dispatch/plan/mod.rs
@@ -3,30 +3,30 @@
 //! A plan looks at the steps that could begin and at the rooms that are kept, never at all
 //! workflows or all runs.
 
+mod builder;
 mod moves;
-mod placing;
-mod waits;
+mod waiting_steps;
 
 use std::collections::{HashMap, HashSet};
 
 use crate::{
     control::{
         dispatch::{
-            rooms::{Care, Room, Rooms},
+            capacity::{Care, Room, Rooms},
+            probations::Trials,
             sessions::{Sessions, SlowRun, Usable},
-            trials::Trials,
         },
         state::{Occurrence, Workflow, Workflows},
     },
     policy::{
-        harm::Harm,
+        contention::Harm,
         urgency::{Claim, Urgency, urgency},
     },
     prelude::*,
 };
 
-use self::placing::Placing;
-pub(super) use self::waits::Waits;
+use self::builder::Placing;
+pub(super) use self::waiting_steps::Waits;
 
 /// What the planner is told by the settings.
 #[derive(Clone, Copy, Debug)]
--- a/src/control/dispatch/plan/moves.rs
+++ b/src/control/dispatch/plan/moves.rs
@@ -7,11 +7,11 @@
 
 use crate::{
     control::dispatch::sessions::SlowRun,
-    policy::mobility::{Movable, is_worth_moving},
+    policy::migration::{Movable, is_worth_moving},
     prelude::*,
 };
 
-use super::placing::{Found, Placing};
+use super::builder::{Found, Placing};
 
 /// Most moves of one plan: reports of their effect come half a second later.
 const MOVES_MAX: usize = 8;
--- a/src/control/dispatch/plan/waits.rs
+++ b/src/control/dispatch/plan/waiting_steps.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     control::{
-        dispatch::plan::{Candidate, placing::Placing},
+        dispatch::plan::{Candidate, builder::Placing},
         state::StepState,
     },
     prelude::*,
--- a/src/control/dispatch/trials.rs
+++ b/src/control/dispatch/probations.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     control::state::Workflows,
-    policy::suspicion::{CALM_MS, RATE_WINDOW_MS, TRIAL_MS},
+    policy::crash_evidence::{CALM_MS, RATE_WINDOW_MS, TRIAL_MS},
     prelude::*,
 };
 
--- a/src/control/dispatch/watch.rs
+++ b/src/control/dispatch/run_monitor.rs
@@ -3,9 +3,9 @@
 use crate::{
     control::state::Workflows,
     policy::{
-        harm::{Harm, images::ImageKey},
-        mobility::Speed,
-        soundness::Progress,
+        contention::{Harm, images::ImageKey},
+        migration::Speed,
+        worker_health::Progress,
     },
     prelude::*,
 };
--- a/src/control/dispatch/sessions.rs
+++ b/src/control/dispatch/sessions.rs
@@ -7,8 +7,8 @@
 };
 
 use crate::{
-    control::{dispatch::watch::Watch, state::Workflows},
-    policy::soundness::Soundness,
+    control::{dispatch::run_monitor::Watch, state::Workflows},
+    policy::worker_health::Soundness,
     prelude::*,
 };
 
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -9,7 +9,7 @@
 mod core;
 mod directory;
 pub mod dispatch;
-pub mod finder;
+pub mod leader_finder;
 pub mod log;
 mod reconcile;
 mod scheduler;
--- a/src/control/scheduler/costs.rs
+++ b/src/control/scheduler/costs.rs
@@ -8,8 +8,8 @@
         state::{NOTHING, State, Task, Vm},
     },
     policy::{
-        order::Tier,
         placement::{Cost, Room},
+        task_queue::Tier,
     },
     prelude::*,
 };
--- a/src/control/scheduler/mod.rs
+++ b/src/control/scheduler/mod.rs
@@ -5,9 +5,9 @@
 //! are a moment old can be refused but never overfills a VM.
 
 mod costs;
-mod relief;
+mod mitigation;
+mod placed_tasks;
 mod reserve;
-mod residents;
 mod urgent;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -15,17 +15,17 @@
 use crate::{
     control::scheduler::{
         costs::Costs,
+        placed_tasks::{Resident, Residents},
         reserve::Reserve,
-        residents::{Resident, Residents},
     },
     control::state::{Change, State, Task, Vm, subtract},
     policy::{
-        estimate::RunTimes,
         feedback::{self},
         interference::{Pairs, Past},
-        order::{self, Candidate, Facts, Queue, Rule, Runs, Tier, Waiting},
         placement::{Aim, Index, Room},
         preemption::EvictionBudget,
+        run_times::RunTimes,
+        task_queue::{self, Candidate, Facts, Queue, Rule, Runs, Tier, Waiting},
     },
     prelude::*,
 };
@@ -279,7 +279,13 @@
             Some(it) if it.kind == ClassKind::LatencyCritical => Tier::Service,
             _ => Tier::Batch,
         };
-        Waiting { task: task.id, tier, rank: order::rank(self.options.rule, facts), need, due_ms }
+        Waiting {
+            task: task.id,
+            tier,
+            rank: task_queue::rank(self.options.rule, facts),
+            need,
+            due_ms,
+        }
     }
 
     fn note_vm(&mut self, state: &State, id: VmId) {
--- a/src/control/scheduler/urgent.rs
+++ b/src/control/scheduler/urgent.rs
@@ -8,8 +8,8 @@
         state::{State, Vm, subtract},
     },
     policy::{
-        order::Candidate,
         preemption::{EvictionBudget, Purpose, Victim, choose_victims},
+        task_queue::Candidate,
     },
     prelude::*,
 };
--- a/src/control/state/workflows/mod.rs
+++ b/src/control/state/workflows/mod.rs
@@ -4,12 +4,12 @@
 //! A run is in this ledger from before its worker is told to start it until its end is taken
 //! from the worker's list, so that a new leader knows of everything that may run anywhere.
 
-mod check;
 mod failures;
 mod index;
 mod suspects;
-mod task;
+mod validation;
 mod workers;
+mod workflow;
 mod zones;
 
 use std::{
@@ -19,16 +19,16 @@
 
 use crate::prelude::*;
 
-pub use self::{
-    check::{WorkflowError, check_queues, check_spec},
-    suspects::Suspects,
-    task::{Occurrence, StepState, TaskRun, Workflow, reserve_of},
-    workers::{Worker, Workers},
-};
 use self::{
     failures::Failures,
     suspects::{Crash, CrashedRun, is_crash},
 };
+pub use self::{
+    suspects::Suspects,
+    validation::{WorkflowError, check_queues, check_spec},
+    workers::{Worker, Workers},
+    workflow::{Occurrence, StepState, TaskRun, Workflow, reserve_of},
+};
 
 /// Failed runs allowed where the queue of a workflow is no longer configured.
 const ATTEMPTS_WITHOUT_QUEUE: u32 = 3;
--- a/src/control/state/workflows/suspects.rs
+++ b/src/control/state/workflows/suspects.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use crate::{
-    policy::suspicion::{Background, RATE_WINDOW_MS, Suspicion, is_outlived, is_outlived_at_least},
+    policy::crash_evidence::{
+        Background, RATE_WINDOW_MS, Suspicion, is_outlived, is_outlived_at_least,
+    },
     prelude::*,
 };
 
--- a/src/entry/core/admission.rs
+++ b/src/entry/core/admission.rs
@@ -5,7 +5,7 @@
 use crate::{
     entry::{
         core::{EntryCore, LOOKUPS_MAX, line_of},
-        quick::{Quick, QuickKey, Stage},
+        pending_request::{Quick, QuickKey, Stage},
         request::{CallerAnswer, QuickRequest},
     },
     policy::admission::{self, Rejection, Waiting},
--- a/src/entry/core/attempts.rs
+++ b/src/entry/core/attempts.rs
@@ -6,7 +6,7 @@
     entry::{
         core::{ASK_MS, ATTEMPT_MIN_MS, ControlToken, EntryCore, FOLLOW_UNKNOWN_MS, line_of},
         endpoints::EndpointKey,
-        quick::{Attempt, QuickKey, Stage},
+        pending_request::{Attempt, QuickKey, Stage},
         request::CallerAnswer,
     },
     error::{Ran, answer_of},
--- a/src/entry/core/claims.rs
+++ b/src/entry/core/claims.rs
@@ -5,7 +5,7 @@
     entry::{
         core::{ASK_MS, ControlToken, EntryCore},
         endpoints::EndpointKey,
-        quick::{QuickKey, Stage},
+        pending_request::{QuickKey, Stage},
         request::CallerAnswer,
     },
     prelude::*,
--- a/src/entry/core/mod.rs
+++ b/src/entry/core/mod.rs
@@ -19,7 +19,7 @@
     control::{client::ControlClient, state::Outcome},
     entry::{
         endpoints::Endpoints,
-        quick::{Quick, QuickKey},
+        pending_request::{Quick, QuickKey},
         request::{CallerAnswer, CallerRequest, Effect, Input},
     },
     metrics::Metrics,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -6,7 +6,7 @@
 
 mod core;
 mod endpoints;
-mod quick;
+mod pending_request;
 mod request;
 
 pub use self::{
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
-use crate::{control::finder::Finder, prelude::*};
+use crate::{control::leader_finder::Finder, prelude::*};
 
 /// What a gateway is told by the settings.
 #[derive(Clone, Debug)]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -34,7 +34,7 @@
 //!
 //! ```
 //! use aspenrail::{
-//!     policy::order::{Facts, Rule, rank},
+//!     policy::task_queue::{Facts, Rule, rank},
 //!     prelude::*,
 //! };
 //!
--- a/src/node/fillers.rs
+++ b/src/node/fillers.rs
@@ -5,8 +5,8 @@
 use crate::{
     node::worker::{Lifetime, Used},
     policy::{
-        harm::{UNKNOWN_PERCENT, headroom_percent, reference_cores},
-        pacing::{FillerReading, Pacer, ServingReading, Usage},
+        contention::{UNKNOWN_PERCENT, headroom_percent, reference_cores},
+        throttling::{FillerReading, Pacer, ServingReading, Usage},
     },
     prelude::*,
 };
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -7,17 +7,17 @@
 
 mod calls;
 mod fillers;
-mod newcomer;
 mod orders;
+mod unconfirmed;
 mod worker;
 
 use std::net::SocketAddr;
 
-use crate::{control::finder::Finder, prelude::*};
+use crate::{control::leader_finder::Finder, prelude::*};
 
 pub use self::calls::{Action, Announcement, CallResult, Departure, Refused, Unusable, WorkerCall};
 use self::{
-    newcomer::{Newcomer, Verdict},
+    unconfirmed::{Newcomer, Verdict},
     worker::Lifetime,
 };
 
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -5,7 +5,7 @@
     node::{
         NodeCore,
         calls::{Action, CallResult, Refused, WorkerCall},
-        newcomer::LATE_ORDER_MAX_MS,
+        unconfirmed::LATE_ORDER_MAX_MS,
         worker::{Hold, Lifetime, Order, Pending},
     },
     prelude::*,
--- a/src/node/worker.rs
+++ b/src/node/worker.rs
@@ -5,9 +5,9 @@
 use crate::{
     node::{
         calls::{Announcement, CallResult},
-        newcomer::LATE_ORDER_MAX_MS,
+        unconfirmed::LATE_ORDER_MAX_MS,
     },
-    policy::pacing::{Pacer, Usage},
+    policy::throttling::{Pacer, Usage},
     prelude::*,
 };
 
--- a/src/policy/harm/filter.rs
+++ b/src/policy/contention/headroom_filter.rs
@@ -6,7 +6,7 @@
 //! are blamed on fillers.
 
 use crate::{
-    policy::harm::{Filler, alike::Evidence, images::ImageKey},
+    policy::contention::{Filler, images::ImageKey, similarity::Evidence},
     prelude::*,
 };
 
--- a/src/policy/harm/mod.rs
+++ b/src/policy/contention/mod.rs
@@ -13,19 +13,19 @@
 //! The tasks of one step serve one load, so they share what they have left without fillers; what
 //! one has less than its siblings is its fillers' doing, whatever the load does meanwhile.
 
-pub mod alike;
-mod filter;
+mod headroom_filter;
 pub mod images;
+pub mod similarity;
 
 use std::{cmp::Reverse, collections::HashMap};
 
 use crate::prelude::*;
 
-pub use self::filter::UNKNOWN_PERCENT;
+pub use self::headroom_filter::UNKNOWN_PERCENT;
 use self::{
-    alike::{Estimates, Readings},
-    filter::{Filter, Reading, UNKNOWN_REST_PERCENT},
+    headroom_filter::{Filter, Reading, UNKNOWN_REST_PERCENT},
     images::{ImageKey, Images},
+    similarity::{Estimates, Readings},
 };
 
 /// Cores of the VM that costs are told for. A VM of another size counts its own by share.
--- a/src/policy/harm/alike.rs
+++ b/src/policy/contention/similarity.rs
@@ -6,8 +6,8 @@
 //! never seen is told by the rows and columns that agree with its own where both are known. Where
 //! none agrees, what remains is the pair's own readings and the cost of an unknown pair.
 
-use crate::policy::harm::{
-    filter::{UNKNOWN_DEVIATION_PERCENT, UNKNOWN_PERCENT},
+use crate::policy::contention::{
+    headroom_filter::{UNKNOWN_DEVIATION_PERCENT, UNKNOWN_PERCENT},
     images::ImageKey,
 };
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -5,17 +5,17 @@
 //! naive twin.
 
 pub mod admission;
-pub mod estimate;
+pub mod contention;
+pub mod crash_evidence;
 pub mod feedback;
-pub mod harm;
 pub mod interference;
-pub mod mobility;
-pub mod order;
-pub mod pacing;
+pub mod migration;
 pub mod placement;
 pub mod preemption;
 pub mod retry;
 pub mod routing;
-pub mod soundness;
-pub mod suspicion;
+pub mod run_times;
+pub mod task_queue;
+pub mod throttling;
 pub mod urgency;
+pub mod worker_health;
--- a/src/policy/estimate.rs
+++ b/src/policy/run_times.rs
@@ -53,7 +53,7 @@
     /// Returns the run time to expect of a task declared at `declared_ms`.
     ///
     /// ```
-    /// use aspenrail::policy::estimate::RunTimes;
+    /// use aspenrail::policy::run_times::RunTimes;
     ///
     /// let mut times = RunTimes::default();
     /// assert_eq!(times.expect_ms("team", "kind", 1_000), 1_000);
--- a/src/runtime/adapters.rs
+++ b/src/runtime/adapters.rs
@@ -12,7 +12,7 @@
     link::{Link, LinkEvent},
     metrics::Metrics,
     prelude::*,
-    runtime::{disk::DiskWriter, pool::Pool, process::Event, role::Adapter},
+    runtime::{disk::DiskWriter, process::Event, role::Adapter, thread_pool::Pool},
 };
 
 /// Messages of this process to itself, which need no link.
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -5,15 +5,15 @@
 
 mod adapters;
 mod disk;
-mod edges;
-mod pool;
+mod http_listeners;
 mod process;
 mod role;
 mod signals;
-mod single;
+mod single_threaded;
+mod thread_pool;
 
 pub use self::{
     process::{Ending, Event, Process, ProcessHandle},
     signals::{forward_signals, forward_signals_to},
-    single::{Platform, SingleHandle, SingleProcess},
+    single_threaded::{Platform, SingleHandle, SingleProcess},
 };
--- a/src/runtime/signals.rs
+++ b/src/runtime/signals.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     prelude::*,
-    runtime::{process::ProcessHandle, single::SingleHandle},
+    runtime::{process::ProcessHandle, single_threaded::SingleHandle},
 };
 
 /// Forwards SIGTERM and SIGINT to a process: the first begins a planned stop, the second ends
--- a/src/runtime/single/adapters.rs
+++ b/src/runtime/single_threaded/adapters.rs
@@ -20,7 +20,7 @@
     runtime::{
         disk::DiskWriter,
         role::Adapter,
-        single::{Event, Platform, SingleHandle},
+        single_threaded::{Event, Platform, SingleHandle},
     },
     util::Clock,
 };
--- a/src/runtime/single/mod.rs
+++ b/src/runtime/single_threaded/mod.rs
@@ -39,7 +39,7 @@
         disk::{DiskSink, DiskWriter},
         process::Ending,
         role::{RoleActor, RoleStatus, start_actor},
-        single::{
+        single_threaded::{
             adapters::{GatewayAdapter, Loopback, MemberAdapter, NodeAdapter, Sending},
             options::{control_links, gateway_options, member_settings, node_options, small},
         },
--- a/src/util/mod.rs
+++ b/src/util/mod.rs
@@ -2,12 +2,12 @@
 
 mod clock;
 mod digest;
-mod id;
-mod lifetime;
+mod group_id;
+mod incarnation;
 mod step;
 
 pub use self::clock::{Clock, Now, set_clock_ahead};
 pub use self::digest::{checksum, digest_of};
-pub use self::id::{Place, index_of};
-pub use self::lifetime::{id_of_lifetime, lifetime_name};
+pub use self::group_id::{Place, index_of};
+pub use self::incarnation::{id_of_lifetime, lifetime_name};
 pub use self::step::StepRef;
--- a/tests/fillers.rs
+++ b/tests/fillers.rs
@@ -3,16 +3,16 @@
 
 use aspenrail::{
     policy::{
-        harm::{
+        contention::{
             Filler, Harm, Serving,
-            alike::{Estimates, Evidence, Readings},
             images::{ImageKey, Images},
             reference_cores,
+            similarity::{Estimates, Evidence, Readings},
         },
-        mobility::{Movable, Speed, is_worth_moving},
-        pacing::{FillerReading, Pacer, ServingReading, Usage},
-        soundness::{Progress, Soundness},
+        migration::{Movable, Speed, is_worth_moving},
+        throttling::{FillerReading, Pacer, ServingReading, Usage},
         urgency::{Claim, urgency},
+        worker_health::{Progress, Soundness},
     },
     prelude::*,
 };
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -7,14 +7,14 @@
     control::state::{NOTHING, Step, add, fits, subtract, transition},
     policy::{
         admission::{FairQueue, Rejection, Waiting},
-        estimate::RunTimes,
         feedback::{Action, Loop, Report},
         interference::{Pairs, Past},
-        order::{self, Facts, Queue, Rule, Runs, Tier},
         placement::{Aim, Cost, Index, Room},
         preemption::{EvictionBudget, Purpose, Victim, choose_victims},
         retry::{Ejection, RetryBudget},
         routing::{self, EndpointView},
+        run_times::RunTimes,
+        task_queue::{self, Facts, Queue, Rule, Runs, Tier},
     },
     prelude::*,
 };
@@ -89,7 +89,7 @@
         for (at, (team, tier, rank, cpu)) in tasks.iter().enumerate() {
             let tier = [Tier::Urgent, Tier::Service, Tier::Due, Tier::Batch][*tier as usize];
             let task = TaskId(at as u64);
-            queue.insert(teams[*team], order::Waiting { task, tier, rank: *rank, need: resources(*cpu, 1), due_ms: None });
+            queue.insert(teams[*team], task_queue::Waiting { task, tier, rank: *rank, need: resources(*cpu, 1), due_ms: None });
             naive.push((*team, tier, *rank, task, *cpu));
         }
         let found: Vec<_> = queue.candidates(usize::MAX).into_iter().map(|it| it.task).collect();
@@ -414,7 +414,7 @@
 fn rule_ranks_a_long_old_task_and_a_short_new_one(rule: Rule, first: u64) {
     let old = Facts { size_ms: 100_000, attained_ms: 0, accepted_ms: 1 };
     let new = Facts { size_ms: 1_000, attained_ms: 500, accepted_ms: 2 };
-    let found = if order::rank(rule, old) < order::rank(rule, new) { 1 } else { 2 };
+    let found = if task_queue::rank(rule, old) < task_queue::rank(rule, new) { 1 } else { 2 };
     assert_eq!(found, first);
 }
 
@@ -424,7 +424,7 @@
     queue.set_quota("owner", Some(resources(1_000, 1_000)));
     queue.set_quota("borrower", Some(resources(1_000, 1_000)));
     for at in 0..4 {
-        let waiting = order::Waiting {
+        let waiting = task_queue::Waiting {
             task: TaskId(at),
             tier: Tier::Batch,
             rank: at,
@@ -436,7 +436,7 @@
     let borrowed: Vec<_> = queue.candidates(9).iter().map(|it| it.borrows).collect();
     assert_eq!(borrowed, [false, false, true, true]);
     (0..4).for_each(|_| queue.note_running("borrower", resources(500, 1), Runs::Starts));
-    let waiting = order::Waiting {
+    let waiting = task_queue::Waiting {
         task: TaskId(9),
         tier: Tier::Batch,
         rank: 99,
--- a/tests/suspicion.rs
+++ b/tests/suspicion.rs
@@ -1,7 +1,7 @@
 //! Which tasks are held to crash their workers, by plain figures.
 #![allow(clippy::unwrap_used)]
 
-use aspenrail::policy::suspicion::{Background, Suspicion};
+use aspenrail::policy::crash_evidence::{Background, Suspicion};
 
 /// Six workers, of which one crashes by itself each second and a half.
 const STORMY: Background = Background { crashes: 13, workers: 6 };
--- a/tests/workflows/colocation.rs
+++ b/tests/workflows/colocation.rs
@@ -7,8 +7,8 @@
 
 use aspenrail::{
     policy::{
-        harm::{UNKNOWN_PERCENT, headroom_percent},
-        pacing::{FillerReading, Pacer, ServingReading},
+        contention::{UNKNOWN_PERCENT, headroom_percent},
+        throttling::{FillerReading, Pacer, ServingReading},
     },
     prelude::*,
 };
--- a/tests/workflows/fillers.rs
+++ b/tests/workflows/fillers.rs
@@ -4,7 +4,7 @@
 
 use aspenrail::{
     control::{dispatch::Dispatcher, state::Workflows},
-    policy::harm::Harm,
+    policy::contention::Harm,
     prelude::*,
 };
 
