--- a/src/agent/core/lease.rs
+++ b/src/agent/core/lease.rs
@@ -3,9 +3,9 @@
 use crate::{
     agent::{
         core::{AgentCore, Effect, Lease, OPEN_MAX_MS, SILENT_HEARTBEATS},
-        tasks::{NotStarted, WorkerCall, WorkerResult},
+        tasks::{StartRejection, WorkerCall, WorkerResult},
     },
-    control::state::Outcome,
+    control::state::ReplyResult,
     prelude::*,
 };
 
@@ -27,7 +27,7 @@
         self.client.call(now, operation, now.mono_ms + OPEN_MAX_MS, ());
     }
 
-    pub(super) fn on_opened(&mut self, now: Now, outcome: Outcome) {
+    pub(super) fn on_opened(&mut self, now: Now, outcome: ReplyResult) {
         self.opening = false;
         match outcome {
             Ok(Reply::SessionOpened(it)) => {
@@ -131,10 +131,10 @@
                 let capacity = self.capacity();
                 let started = match lease.reconciled {
                     true => self.tasks.try_start(task, incarnation, &start, capacity),
-                    false => Err(NotStarted::OlderRuns),
+                    false => Err(StartRejection::OlderRuns),
                 };
                 if let Err(why) = started {
-                    if why != NotStarted::Known {
+                    if why != StartRejection::Known {
                         self.metrics.orders_ignored.inc();
                         tracing::warn!(event = "start_not_followed", task = task.0, incarnation, why = ?why);
                     }
@@ -164,7 +164,7 @@
     }
 
     /// Stops all tasks once the lease has run out: from now on control may place them elsewhere.
-    pub(super) fn heed_lease_end(&mut self, now: Now) {
+    pub(super) fn handle_lease_end(&mut self, now: Now) {
         let Some(lease) = &mut self.lease else { return };
         if lease.until_ms == 0 || now.mono_ms < lease.until_ms {
             return;
--- a/src/agent/core/mod.rs
+++ b/src/agent/core/mod.rs
@@ -15,8 +15,8 @@
         seen_attempts::{AttemptId, Seen},
         tasks::{Tasks, WorkerCall, WorkerResult},
     },
-    config::Adopted,
-    control::{client::ControlClient, state::Outcome},
+    config::AdoptedConfiguration,
+    control::{client::ControlClient, state::ReplyResult},
     metrics::Metrics,
     prelude::*,
     schema::settings::AgentSettings,
@@ -80,7 +80,7 @@
     Send { to: SocketAddr, message: Message },
     Worker(WorkerCall),
     Call(ExecutorCall),
-    Answer { token: u64, outcome: Outcome },
+    Answer { token: u64, outcome: ReplyResult },
 }
 
 /// The lease of one session.
@@ -110,7 +110,7 @@
     options: AgentOptions,
     metrics: Arc<Metrics>,
     client: ControlClient<()>,
-    adopted: Adopted,
+    adopted: AdoptedConfiguration,
     lease: Option<Lease>,
     /// Sessions of this process: its endpoints were known under each of them.
     own_sessions: BTreeSet<SessionId>,
@@ -142,7 +142,7 @@
             seen: Seen::new(settings.seen_max as usize, settings.seen_ms.into()),
             options,
             metrics,
-            adopted: Adopted::new(),
+            adopted: AdoptedConfiguration::new(),
             lease: None,
             own_sessions: BTreeSet::new(),
             opening: false,
@@ -199,7 +199,7 @@
     /// Takes in one input.
     pub fn handle(&mut self, now: Now, input: Input) {
         // Whatever arrives first after a pause of this process, the lease is looked at before it.
-        self.heed_lease_end(now);
+        self.handle_lease_end(now);
         match input {
             Input::Message { from, in_force, message } => {
                 if let Some(question) = self.adopted.question(now, in_force, self.options.address) {
@@ -307,7 +307,7 @@
 
     fn on_announce(&mut self, now: Now, token: u64, it: Announcement) {
         let outcome = if self.draining {
-            Err(refusal_until(ErrorKind::Draining, "this VM's agent is stopping", 1_000))
+            Err(refusal_with_retry_after(ErrorKind::Draining, "this VM's agent is stopping", 1_000))
         } else if it.slots == 0 || it.connections == 0 {
             Err(refusal(ErrorKind::BadRequest, "slots and connections must be above 0"))
         } else {
--- a/src/agent/tasks.rs
+++ b/src/agent/tasks.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::{
-    control::state::{NOTHING, add, fits},
+    control::state::{NO_RESOURCES, add, fits},
     prelude::*,
 };
 
@@ -105,7 +105,7 @@
 
 /// Why an order to start is not followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NotStarted {
+pub(super) enum StartRejection {
     /// This incarnation, or a newer one, is known already.
     Known,
     /// An older incarnation still runs here; it goes first.
@@ -167,24 +167,25 @@
         incarnation: u32,
         start: &TaskStart,
         capacity: Resources,
-    ) -> Result<(), NotStarted> {
+    ) -> Result<(), StartRejection> {
         let reported = self.reported.get(&task);
         let known =
             reported.map(|it| it.incarnation).max(self.pending.get(&task).map(|it| it.incarnation));
         let known = known.max(self.failed.get(&task).map(|it| it.0));
         let known = known.max(self.started.get(&task).copied());
         if known.is_some_and(|it| incarnation <= it) {
-            return Err(NotStarted::Known);
+            return Err(StartRejection::Known);
         }
         if reported.is_some_and(|it| !has_ended(it.phase)) || self.pending.contains_key(&task) {
-            return Err(NotStarted::OlderRuns);
+            return Err(StartRejection::OlderRuns);
         }
         // Control's ledger decides; this second look keeps the promise even if that one is wrong.
         let running = self.running().map(|it| it.resources);
-        let held =
-            running.chain(self.pending.values().map(|it| it.start.resources)).fold(NOTHING, add);
+        let held = running
+            .chain(self.pending.values().map(|it| it.start.resources))
+            .fold(NO_RESOURCES, add);
         if !fits(add(held, start.resources), capacity) {
-            return Err(NotStarted::Full);
+            return Err(StartRejection::Full);
         }
         self.pending.insert(
             task,
--- a/src/bench/batch.rs
+++ b/src/bench/batch.rs
@@ -124,17 +124,17 @@
         ),
         (
             "ours, sizes as declared",
-            Variant::Ours(SchedulerOptions { corrects_sizes: false, ..ours }),
+            Variant::Ours(SchedulerOptions { corrects_run_times: false, ..ours }),
         ),
         (
             "ours, no interference",
             Variant::Ours(SchedulerOptions { learns_interference: false, ..ours }),
         ),
-        ("ours, no feedback", Variant::Ours(SchedulerOptions { feeds_back: false, ..ours })),
+        ("ours, no feedback", Variant::Ours(SchedulerOptions { uses_feedback: false, ..ours })),
         (
             "ours, neither of both",
             Variant::Ours(SchedulerOptions {
-                feeds_back: false,
+                uses_feedback: false,
                 learns_interference: false,
                 ..ours
             }),
@@ -484,7 +484,7 @@
                 continue;
             }
             let throttle =
-                self.scheduler.throttle_of(*id).map_or(1.0, |it| f64::from(it) / 1_000.0);
+                self.scheduler.throttle_permille(*id).map_or(1.0, |it| f64::from(it) / 1_000.0);
             run.done_ms += STEP_MS as f64 * throttle;
         }
         for (id, run) in &self.runs {
@@ -558,7 +558,7 @@
             };
             let kind = KINDS.iter().find(|it| it.0 == job.spec.kind);
             let throttle =
-                self.scheduler.throttle_of(*id).map_or(1.0, |it| f64::from(it) / 1_000.0);
+                self.scheduler.throttle_permille(*id).map_or(1.0, |it| f64::from(it) / 1_000.0);
             let share = f64::from(job.spec.resources.cpu_millicores) / f64::from(VM_MILLICORES);
             *harm.entry(run.vm).or_insert(0.0) += kind.map_or(0.0, |it| it.3) * share * throttle;
         }
@@ -614,7 +614,9 @@
             let waiting = self.state.jobs.tasks().filter(|it| it.state.is_waiting());
             let Some(task) = waiting.min_by_key(|it| it.id) else { return };
             let need = self.state.jobs.need_of(task);
-            let Some(vm) = self.state.vms.iter().find(|it| it.has_room_for(need)) else { return };
+            let Some(vm) = self.state.vms.iter().find(|it| it.has_capacity_for(need)) else {
+                return;
+            };
             let Some(session) = vm.session.as_ref().map(|it| it.id) else { return };
             let (task, incarnation, vm) = (task.id, task.incarnation + 1, vm.id);
             let start = StartCommand { task, incarnation, vm, session };
--- a/src/bench/capacity.rs
+++ b/src/bench/capacity.rs
@@ -6,7 +6,7 @@
     bench::{fit, resident_bytes},
     control::{
         ControlCore, ControlOptions, Effect, Input, Scheduler, SchedulerOptions,
-        log::Recovered,
+        log::RecoveredState,
         state::{Change, State},
     },
     link::encode_frame,
@@ -15,7 +15,7 @@
     util::Place,
 };
 
-const PLACE: Place = Place { region: 1, group: 1 };
+const GROUP_ID: Place = Place { region: 1, group: 1 };
 const WALL_MS: u64 = 1_700_000_000_000;
 
 /// Processors of a VM: room for what the largest case puts on one, and as much again.
@@ -147,12 +147,12 @@
 fn lead_alone(vms: u32, tasks: u32) -> ControlCore {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
     let member = Member { id: MemberId(1), address };
-    let recovered = Recovered {
+    let recovered = RecoveredState {
         initial_members: Membership { voters: vec![member], learners: Vec::new() },
-        ..Recovered::default()
+        ..RecoveredState::default()
     };
     let options = ControlOptions {
-        place: PLACE,
+        place: GROUP_ID,
         member: MemberId(1),
         address,
         controls: vec![address],
@@ -323,7 +323,7 @@
     let begun = Instant::now();
     let mut found = 0;
     for _ in 0..rounds {
-        let fitting = state.vms.iter().filter(|it| it.has_room_for(need));
+        let fitting = state.vms.iter().filter(|it| it.has_capacity_for(need));
         found += usize::from(fitting.min_by_key(|it| it.free().cpu_millicores).is_some());
     }
     std::hint::black_box(found);
--- a/src/bench/commits.rs
+++ b/src/bench/commits.rs
@@ -3,7 +3,7 @@
 use std::{path::Path, sync::Arc, time::Instant};
 
 use crate::{
-    control::log::{Disk, DiskWrite, Identity, Raft, RaftOptions, Recovered},
+    control::log::{Disk, DiskWrite, Identity, Raft, RaftOptions, RecoveredState},
     prelude::*,
     util::{Clock, Place},
 };
@@ -49,7 +49,8 @@
         drop((disk, entries));
         let resident = crate::bench::resident_bytes();
         let begun = Instant::now();
-        let (_disk, recovered): (Disk, Recovered) = Disk::open(&path, &Identity::read(&path)?, 0)?;
+        let (_disk, recovered): (Disk, RecoveredState) =
+            Disk::open(&path, &Identity::read(&path)?, 0)?;
         let raft = Raft::new(MemberId(1), recovered, RaftOptions::default(), Clock.now());
         let recovery_ms = begun.elapsed().as_secs_f64() * 1e3;
         let growth = crate::bench::resident_bytes().saturating_sub(resident);
--- a/src/config/adopted_configuration.rs
+++ b/src/config/adopted_configuration.rs
@@ -14,17 +14,17 @@
 /// a peer that lags, or an answer to an earlier run still on its way, could hold an older one
 /// than this process had in force before its restart. Later ones come from whoever is ahead.
 #[derive(Clone, Debug)]
-pub struct Adopted {
+pub struct AdoptedConfiguration {
     current: Configuration,
     asked_ms: Option<u64>,
 }
 
-impl Adopted {
+impl AdoptedConfiguration {
     /// Makes a process's configuration before the first is known.
-    pub fn new() -> Adopted {
+    pub fn new() -> AdoptedConfiguration {
         let current =
             Configuration { revision: Revision(0), teams: Vec::new(), classes: Vec::new() };
-        Adopted { current, asked_ms: None }
+        AdoptedConfiguration { current, asked_ms: None }
     }
 
     /// Returns the revision in force; zero before the first is known.
@@ -85,8 +85,8 @@
     }
 }
 
-impl Default for Adopted {
-    fn default() -> Adopted {
-        Adopted::new()
+impl Default for AdoptedConfiguration {
+    fn default() -> AdoptedConfiguration {
+        AdoptedConfiguration::new()
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -4,6 +4,6 @@
 mod settings;
 
 pub use self::{
-    adopted_configuration::Adopted,
+    adopted_configuration::AdoptedConfiguration,
     settings::{Problem, load_settings, parse_settings, settings_page},
 };
--- a/src/control/client.rs
+++ b/src/control/client.rs
@@ -6,7 +6,7 @@
 use std::{collections::HashMap, net::SocketAddr};
 
 use crate::{
-    control::{leader_finder::Finder, state::Outcome},
+    control::{leader_finder::LeaderFinder, state::ReplyResult},
     prelude::*,
 };
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct ControlClient<T> {
     reply_to: SocketAddr,
-    finder: Finder,
+    leader_finder: LeaderFinder,
     calls: HashMap<u64, Call<T>>,
     next_id: u64,
     outbox: Vec<(SocketAddr, Message)>,
@@ -40,7 +40,7 @@
     pub fn new(reply_to: SocketAddr, controls: Vec<SocketAddr>, boot: u64) -> ControlClient<T> {
         ControlClient {
             reply_to,
-            finder: Finder::new(controls, boot),
+            leader_finder: LeaderFinder::new(controls, boot),
             calls: HashMap::new(),
             next_id: boot,
             outbox: Vec::new(),
@@ -49,17 +49,17 @@
 
     /// Returns the process that is thought to lead, or the next one to try.
     pub fn target(&self) -> Option<SocketAddr> {
-        self.finder.target()
+        self.leader_finder.target()
     }
 
     /// Learns who leads.
     pub fn set_leader(&mut self, leader: Option<SocketAddr>) {
-        self.finder.set_leader(leader);
+        self.leader_finder.set_leader(leader);
     }
 
     /// Turns to the next control process, since the current one is silent or does not lead.
     pub fn try_next(&mut self) {
-        self.finder.try_next();
+        self.leader_finder.try_next();
     }
 
     /// Returns the operations under way.
@@ -81,7 +81,7 @@
     }
 
     /// Takes in an answer; returns the token and the outcome if it ends an operation.
-    pub fn on_reply(&mut self, now: Now, reply: ControlReply) -> Option<(T, Outcome)> {
+    pub fn on_reply(&mut self, now: Now, reply: ControlReply) -> Option<(T, ReplyResult)> {
         let call = self.calls.get_mut(&reply.id)?;
         match reply.result {
             ControlResult::Ok(it) => Some((self.calls.remove(&reply.id)?.token, Ok(it))),
@@ -96,7 +96,7 @@
     }
 
     /// Repeats what is due, and returns the operations whose time is up.
-    pub fn tick(&mut self, now: Now) -> Vec<(T, Outcome)> {
+    pub fn tick(&mut self, now: Now) -> Vec<(T, ReplyResult)> {
         let mut ended: Vec<_> = self
             .calls
             .iter()
@@ -112,7 +112,7 @@
             .collect();
         due.sort_unstable();
         due.retain(|it| !ended.contains(it));
-        if !due.is_empty() && self.finder.leader().is_some() {
+        if !due.is_empty() && self.leader_finder.leader().is_some() {
             // The leader owed an answer to one of these.
             self.try_next();
         }
@@ -120,7 +120,11 @@
             self.send(now, id);
         }
         let unavailable = || {
-            refusal_until(ErrorKind::ControlUnavailable, "control did not answer in time", 1_000)
+            refusal_with_retry_after(
+                ErrorKind::ControlUnavailable,
+                "control did not answer in time",
+                1_000,
+            )
         };
         ended
             .into_iter()
--- a/src/control/core/membership_manager.rs
+++ b/src/control/core/membership_manager.rs
@@ -28,7 +28,7 @@
 
 /// What is known of processes that want to join.
 #[derive(Debug, Default)]
-pub(super) struct Keeper {
+pub(super) struct MembershipManager {
     joining: BTreeMap<MemberId, (Member, u64)>,
     tick_at_ms: u64,
     /// When this member last heard a leader, or began to wait for one.
@@ -36,26 +36,26 @@
 }
 
 impl ControlCore {
-    pub(super) fn keeper_tick_ms(&self) -> u64 {
-        if self.options.voters == 0 { u64::MAX } else { self.keeper.tick_at_ms }
+    pub(super) fn membership_tick_ms(&self) -> u64 {
+        if self.options.voters == 0 { u64::MAX } else { self.membership_manager.tick_at_ms }
     }
 
     pub(super) fn on_join(&mut self, now: Now, it: Member) {
         if self.raft.is_leader() {
-            self.keeper.joining.insert(it.id, (it, now.mono_ms));
+            self.membership_manager.joining.insert(it.id, (it, now.mono_ms));
         } else if let Some(to) = self.leader_address() {
             // Whoever joins may know none but this member.
             self.effects.push(Effect::Send { to, message: Message::Join(it) });
         }
     }
 
-    pub(super) fn tick_keeper(&mut self, now: Now) {
-        if self.options.voters == 0 || now.mono_ms < self.keeper.tick_at_ms {
+    pub(super) fn tick_membership(&mut self, now: Now) {
+        if self.options.voters == 0 || now.mono_ms < self.membership_manager.tick_at_ms {
             return;
         }
-        self.keeper.tick_at_ms = now.mono_ms + INTERVAL_MS;
+        self.membership_manager.tick_at_ms = now.mono_ms + INTERVAL_MS;
         if self.raft.is_leader() {
-            self.keeper.led_ms = None;
+            self.membership_manager.led_ms = None;
             self.keep_members(now);
         } else {
             self.ask_to_join(now);
@@ -65,10 +65,10 @@
     /// Asks to join when no leader is heard: this member may have been removed while it was away.
     fn ask_to_join(&mut self, now: Now) {
         if self.raft.leader().is_some() {
-            self.keeper.led_ms = None;
+            self.membership_manager.led_ms = None;
             return;
         }
-        let since_ms = *self.keeper.led_ms.get_or_insert(now.mono_ms);
+        let since_ms = *self.membership_manager.led_ms.get_or_insert(now.mono_ms);
         let own = self.raft.id();
         let is_voter = self.raft.members().voters.iter().any(|it| it.id == own);
         if is_voter && now.mono_ms < since_ms + VOTER_SILENT_MS {
@@ -84,7 +84,9 @@
     }
 
     fn keep_members(&mut self, now: Now) {
-        self.keeper.joining.retain(|_, (_, at_ms)| now.mono_ms < *at_ms + JOIN_VALID_MS);
+        self.membership_manager
+            .joining
+            .retain(|_, (_, at_ms)| now.mono_ms < *at_ms + JOIN_VALID_MS);
         let Some((change, cause)) = self.next_change(now) else { return };
         let outcome = self.raft.change_members(now, change.clone());
         match outcome {
@@ -102,7 +104,7 @@
         let members = self.raft.members();
         let silence_ms = |id| self.raft.progress_of(id, now).map_or(u64::MAX, |(_, it, _)| it);
         let all = || members.voters.iter().chain(&members.learners);
-        for (joiner, _) in self.keeper.joining.values() {
+        for (joiner, _) in self.membership_manager.joining.values() {
             if all().any(|it| it.id == joiner.id) {
                 continue;
             }
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -17,11 +17,11 @@
         client::ControlClient,
         directory::Directory,
         dispatch::{DispatchOptions, Dispatcher},
-        log::{Applied, DiskWrite, Raft, RaftOptions, Recovered},
+        log::{Committed, DiskWrite, Raft, RaftOptions, RecoveredState},
         reconcile,
         scheduler::{Scheduler, SchedulerOptions},
         sessions::Sessions,
-        state::{Change, Outcome, State},
+        state::{Change, ReplyResult, State},
     },
     prelude::*,
     schema::settings::ControlSettings,
@@ -75,9 +75,9 @@
     },
     DiskFull(bool),
     /// The disk refuses what is written, or takes it again.
-    DiskRefuses(bool),
+    DiskWritesRefused(bool),
     /// Other control addresses, from changed settings.
-    Controls(Vec<SocketAddr>),
+    ControlAddresses(Vec<SocketAddr>),
     Tick,
     /// A planned stop: leadership is handed over.
     Stop,
@@ -88,7 +88,7 @@
 pub enum Effect {
     Send { to: SocketAddr, message: Message },
     Write { number: u64, writes: Vec<DiskWrite> },
-    Answer { token: u64, outcome: Outcome },
+    Answer { token: u64, outcome: ReplyResult },
 }
 
 /// Whom the answer to an operation goes to.
@@ -106,7 +106,7 @@
 }
 
 /// What only a leader keeps.
-pub(super) struct Leading {
+pub(super) struct LeaderState {
     pub since_ms: u64,
     pub sessions: Sessions,
     pub directory: Directory,
@@ -123,16 +123,16 @@
     pub(super) options: ControlOptions,
     pub(super) raft: Raft,
     pub(super) state: State,
-    pub(super) leading: Option<Leading>,
+    pub(super) leading: Option<LeaderState>,
     waiting: BTreeMap<u64, (u64, ReplyTo)>,
     /// Where members not in the membership known here were heard from.
     heard_from: BTreeMap<MemberId, SocketAddr>,
     /// Workflow calls that wait for their entry: its term, and whom to answer.
-    calls_waiting: BTreeMap<u64, (u64, workflows::CallReply)>,
-    keeper: membership_manager::Keeper,
+    pending_calls: BTreeMap<u64, (u64, workflows::CallReplyTo)>,
+    membership_manager: membership_manager::MembershipManager,
     client: ControlClient<u64>,
     disk_full: bool,
-    disk_refuses: bool,
+    disk_writes_refused: bool,
     effects: Vec<Effect>,
 }
 
@@ -142,7 +142,11 @@
     /// # Errors
     ///
     /// Returns an error when the snapshot cannot be decoded.
-    pub fn new(options: ControlOptions, recovered: Recovered, now: Now) -> Result<ControlCore> {
+    pub fn new(
+        options: ControlOptions,
+        recovered: RecoveredState,
+        now: Now,
+    ) -> Result<ControlCore> {
         let settings = &options.settings;
         let raft_options = RaftOptions {
             election_timeout_ms: settings.election_timeout_ms.into(),
@@ -159,11 +163,11 @@
             leading: None,
             waiting: BTreeMap::new(),
             heard_from: BTreeMap::new(),
-            calls_waiting: BTreeMap::new(),
-            keeper: membership_manager::Keeper::default(),
+            pending_calls: BTreeMap::new(),
+            membership_manager: membership_manager::MembershipManager::default(),
             client,
             disk_full: false,
-            disk_refuses: false,
+            disk_writes_refused: false,
             effects: Vec::new(),
         };
         res.apply(now)?;
@@ -201,7 +205,7 @@
         let leading_ms = self.leading.as_ref().map_or(u64::MAX, |it| it.tick_at_ms);
         raft_ms
             .min(leading_ms)
-            .min(self.keeper_tick_ms())
+            .min(self.membership_tick_ms())
             .min(self.client.next_tick_ms().unwrap_or(u64::MAX))
     }
 
@@ -223,19 +227,19 @@
             }
             Input::Persisted { number } => self.raft.persisted(now, number),
             Input::DiskFull(it) => self.disk_full = it,
-            Input::DiskRefuses(it) => self.on_disk_refuses(now, it),
-            Input::Controls(it) => self.options.controls = it,
+            Input::DiskWritesRefused(it) => self.on_disk_writes_refused(now, it),
+            Input::ControlAddresses(it) => self.options.controls = it,
             Input::Tick => self.tick(now),
-            Input::Stop => self.raft.hand_over(now),
+            Input::Stop => self.raft.transfer_leadership(now),
         }
         self.finish_turn(now)
     }
 
     /// Lets a member lead whose disk takes writes: this one could not count itself for anything new.
-    fn on_disk_refuses(&mut self, now: Now, refuses: bool) {
-        self.disk_refuses = refuses;
+    fn on_disk_writes_refused(&mut self, now: Now, refuses: bool) {
+        self.disk_writes_refused = refuses;
         if refuses {
-            self.raft.hand_over(now);
+            self.raft.transfer_leadership(now);
         }
     }
 
@@ -247,7 +251,7 @@
         self.turn_dispatcher(now);
         let snapshot_entries = u64::from(self.options.settings.snapshot_entries);
         if self.raft.snapshot_index() + snapshot_entries < self.state.index()
-            || self.raft.is_heavy()
+            || self.raft.needs_snapshot()
         {
             // Encoding runs on the core's thread; docs/CAPACITY.md has what it costs.
             let data = self.state.to_bytes()?;
@@ -280,7 +284,7 @@
         if self.raft.has_lease(now) {
             self.lead(now);
         }
-        self.tick_keeper(now);
+        self.tick_membership(now);
         if let Some(it) = &mut self.leading {
             it.tick_at_ms = now.mono_ms + LEADER_TICK_MS;
         }
@@ -346,14 +350,14 @@
 
     /// Applies what was committed.
     fn apply(&mut self, now: Now) -> Result<()> {
-        for it in self.raft.take_applied() {
+        for it in self.raft.take_committed() {
             match it {
-                Applied::Snapshot(it) => {
+                Committed::Snapshot(it) => {
                     self.state = State::from_bytes(&it.data)?;
                     // Indexes beside the old state are worth nothing; a leader installs none.
                     self.leading = None;
                 }
-                Applied::Entry(it) => self.apply_entry(now, &it),
+                Committed::Entry(it) => self.apply_entry(now, &it),
             }
         }
         let is_shown = self.raft.has_caught_up();
@@ -414,7 +418,7 @@
                     quarantine_ms: settings.quarantine_ms.into(),
                     ..SchedulerOptions::default()
                 };
-                self.leading = Some(Leading {
+                self.leading = Some(LeaderState {
                     since_ms: now.mono_ms,
                     sessions: Sessions::take_over(&self.state, now, held_ms(settings)),
                     directory: Directory::new(self.raft.term()),
@@ -438,7 +442,7 @@
             }
             _ => (),
         }
-        if !self.raft.is_leader() && !self.calls_waiting.is_empty() {
+        if !self.raft.is_leader() && !self.pending_calls.is_empty() {
             self.abandon_calls();
         }
         if !self.raft.is_leader() && !self.waiting.is_empty() {
@@ -449,14 +453,14 @@
     }
 }
 
-impl Leading {
+impl LeaderState {
     /// Keeps sessions and learned run times in step with a command just applied.
     fn note_command(
         &mut self,
         state: &State,
         settings: &ControlSettings,
         command: &Command,
-        outcome: &Outcome,
+        outcome: &ReplyResult,
         now: Now,
     ) {
         match (command, outcome) {
@@ -493,7 +497,7 @@
 }
 
 /// Returns what an operator is told of a change of zones.
-fn reply_of(outcome: WorkflowOutcome) -> Outcome {
+fn reply_of(outcome: WorkflowOutcome) -> ReplyResult {
     match outcome {
         WorkflowOutcome::Stale => Err(refusal(
             ErrorKind::RevisionConflict,
--- a/src/control/core/operations.rs
+++ b/src/control/core/operations.rs
@@ -6,7 +6,7 @@
     control::{
         core::{ControlCore, Effect, PROPOSALS_MAX, ReplyTo, WATCH_READ_MAX},
         log::ProposeError,
-        state::{Outcome, WorkflowError},
+        state::{ReplyResult, ValidationError},
         views,
     },
     prelude::*,
@@ -69,7 +69,7 @@
     /// Takes an availability zone out of use or back, on the ground that the operator saw.
     fn evacuate(&mut self, now: Now, it: EvacuateRequest, to: ReplyTo) {
         let evacuations = self.state.workflows.evacuations();
-        if let Err(WorkflowError(why)) = evacuations.check(&it) {
+        if let Err(ValidationError(why)) = evacuations.check(&it) {
             return self.answer(to, Err(refusal(ErrorKind::BadRequest, why)));
         }
         let change = EvacuateZone {
@@ -95,7 +95,7 @@
     pub(super) fn check_limits(&self, command: &Command) -> Result<(), Refusal> {
         let settings = &self.options.settings;
         let full = |table: &str, most: u32| {
-            Err(refusal_until(
+            Err(refusal_with_retry_after(
                 ErrorKind::TableFull,
                 format_compact!("{table} are at their most, {most}"),
                 5_000,
@@ -103,8 +103,8 @@
         };
         let frees =
             matches!(command, Command::Cancel(_) | Command::Settle(_) | Command::DeleteWatch(_));
-        if (self.disk_full || self.disk_refuses) && !frees {
-            return Err(refusal_until(
+        if (self.disk_full || self.disk_writes_refused) && !frees {
+            return Err(refusal_with_retry_after(
                 ErrorKind::DiskFull,
                 "control's disk has too little free space",
                 10_000,
@@ -134,7 +134,7 @@
                 full("watches", settings.watches_max)
             }
             Command::Publish(_)
-                if settings.claims_max as usize <= state.watches.published_len() =>
+                if settings.claims_max as usize <= state.watches.published_key_count() =>
             {
                 full("keys of published events", settings.claims_max)
             }
@@ -159,7 +159,7 @@
 
     pub(super) fn answer_unproposed(&mut self, to: ReplyTo, error: ProposeError) {
         let outcome = match error {
-            ProposeError::MembershipBusy => Err(refusal_until(
+            ProposeError::MembershipBusy => Err(refusal_with_retry_after(
                 ErrorKind::MembershipUnsafe,
                 "another change of membership is under way",
                 1_000,
@@ -180,13 +180,16 @@
             }
             ReplyTo::Edge { .. } => {
                 let detail = "the leader changed meanwhile: ask again with the same key";
-                self.answer(to, Err(refusal_until(ErrorKind::ControlUnavailable, detail, 500)));
+                self.answer(
+                    to,
+                    Err(refusal_with_retry_after(ErrorKind::ControlUnavailable, detail, 500)),
+                );
             }
             ReplyTo::Nobody => (),
         }
     }
 
-    pub(super) fn answer(&mut self, to: ReplyTo, outcome: Outcome) {
+    pub(super) fn answer(&mut self, to: ReplyTo, outcome: ReplyResult) {
         match to {
             ReplyTo::Edge { token } => self.effects.push(Effect::Answer { token, outcome }),
             ReplyTo::Link { address, id } => {
@@ -205,7 +208,7 @@
         self.effects.push(Effect::Send { to, message });
     }
 
-    pub(super) fn query(&self, now: Now, query: &Query) -> Outcome {
+    pub(super) fn query(&self, now: Now, query: &Query) -> ReplyResult {
         match query {
             Query::Job(it) => views::job(&self.state, it),
             Query::JobResult(it) => views::job_result(&self.state, it),
--- a/src/control/core/reports.rs
+++ b/src/control/core/reports.rs
@@ -64,7 +64,7 @@
         let mut res = reconcile::reconcile(&self.state, vm, &it.tasks, it.reconciled);
         events.append(&mut res.events);
         for report in &it.tasks {
-            if let Some(permille) = leading.scheduler.throttle_of(report.task) {
+            if let Some(permille) = leading.scheduler.throttle_permille(report.task) {
                 let action = TaskAction::Throttle(permille);
                 res.orders.push(TaskOrder {
                     task: report.task,
@@ -94,7 +94,7 @@
         leading.sessions.note_entry(now, it);
         // A new leader has heard of no endpoints yet; telling that would empty every entry.
         let waited = leading.since_ms + u64::from(self.options.settings.lease_ms) <= now.mono_ms;
-        let directory = match leading.sessions.all_heard() || waited {
+        let directory = match leading.sessions.all_reported() || waited {
             true => leading.directory.update_since(it.directory_epoch, it.directory_version),
             false => None,
         };
--- a/src/control/core/workflows.rs
+++ b/src/control/core/workflows.rs
@@ -13,7 +13,7 @@
 
 /// Whom the answer to a workflow request goes to.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct CallReply {
+pub(super) struct CallReplyTo {
     pub address: SocketAddr,
     pub id: u64,
 }
@@ -26,13 +26,13 @@
     }
 
     pub(super) fn on_workflow_call(&mut self, now: Now, it: WorkflowCall) {
-        let to = CallReply { address: it.reply_to, id: it.id };
+        let to = CallReplyTo { address: it.reply_to, id: it.id };
         if !self.raft.has_lease(now) || self.leading.is_none() {
             return self.answer_call(to, WorkflowOutcome::NotLeader(self.leader_address()));
         }
         match Dispatcher::decide(&self.state.workflows, it.request, now) {
             Verdict::Answer(outcome) => self.answer_call(to, outcome),
-            Verdict::Propose(_) if self.disk_full || self.disk_refuses => {
+            Verdict::Propose(_) if self.disk_full || self.disk_writes_refused => {
                 tracing::warn!(event = "proposal_refused", cause = "disk_full", call = to.id);
                 self.answer_call(to, WorkflowOutcome::Busy(FULL_PAUSE_MS));
             }
@@ -79,7 +79,7 @@
             let in_zone = self.state.vms.iter().filter(|vm| vm.zone == it.zone);
             in_zone.for_each(|vm| leading.scheduler.note(&self.state, Change::Vm(vm.id)));
         }
-        if let Some((term, to)) = self.calls_waiting.remove(&entry.index) {
+        if let Some((term, to)) = self.pending_calls.remove(&entry.index) {
             let answer = match term == entry.term {
                 true => outcome.clone(),
                 false => WorkflowOutcome::NotLeader(self.leader_address()),
@@ -113,16 +113,16 @@
     /// Tells clients that wait that this member no longer leads; a new leader may still commit
     /// what they asked for.
     pub(super) fn abandon_calls(&mut self) {
-        for (_, to) in std::mem::take(&mut self.calls_waiting).into_values() {
+        for (_, to) in std::mem::take(&mut self.pending_calls).into_values() {
             self.answer_call(to, WorkflowOutcome::Interrupted);
         }
     }
 
-    fn propose_workflow(&mut self, now: Now, command: WorkflowCommand, to: Option<CallReply>) {
+    fn propose_workflow(&mut self, now: Now, command: WorkflowCommand, to: Option<CallReplyTo>) {
         let is_begin = matches!(command, WorkflowCommand::Begin(_));
         match (self.raft.propose(now, EntryBody::Command(Command::Workflow(command))), to) {
             (Ok(index), Some(to)) => {
-                self.calls_waiting.insert(index, (self.raft.term(), to));
+                self.pending_calls.insert(index, (self.raft.term(), to));
             }
             (Ok(_), None) => (),
             (Err(error), Some(to)) => {
@@ -134,13 +134,13 @@
                 if let Some(leading) = &mut self.leading
                     && let Some(dispatcher) = leading.dispatcher.as_mut().filter(|_| is_begin)
                 {
-                    dispatcher.note_unproposed();
+                    dispatcher.note_begin_rejected();
                 }
             }
         }
     }
 
-    fn answer_call(&mut self, to: CallReply, outcome: WorkflowOutcome) {
+    fn answer_call(&mut self, to: CallReplyTo, outcome: WorkflowOutcome) {
         let answer = WorkflowAnswer { id: to.id, members: self.member_addresses(), outcome };
         self.effects
             .push(Effect::Send { to: to.address, message: Message::WorkflowAnswer(answer) });
--- a/src/control/dispatch/capacity.rs
+++ b/src/control/dispatch/capacity.rs
@@ -10,13 +10,15 @@
     control::{
         dispatch::{
             run_monitor::Work,
-            sessions::{Sessions, Usable},
+            sessions::{Sessions, UsabilityCriteria},
         },
-        state::{Worker, Workflows, add, fits, reserve_of, subtract},
+        state::{Worker, Workflows, add, fits, reservation_of, subtract},
     },
     policy::{
-        contention::{Filler, Harm, MEAN_USE_SHARE, images::ImageKey, reference_cores},
-        throttling::NEGLIGIBLE_PERCENT,
+        contention::{
+            ContentionModel, Filler, MEAN_CPU_USE_SHARE, images::ImageKey, reference_cores,
+        },
+        throttling::NEGLIGIBLE_COST_PERCENT,
     },
     prelude::*,
 };
@@ -52,8 +54,12 @@
 }
 
 impl<'a> Asked<'a> {
-    pub(super) fn new(step: &'a WorkflowStep, queue: &'a Queue, harm: &mut Harm) -> Asked<'a> {
-        Asked { step, queue, work: Work::of(step, harm), reserve: reserve_of(step) }
+    pub(super) fn new(
+        step: &'a WorkflowStep,
+        queue: &'a Queue,
+        harm: &mut ContentionModel,
+    ) -> Asked<'a> {
+        Asked { step, queue, work: Work::of(step, harm), reserve: reservation_of(step) }
     }
 }
 
@@ -79,12 +85,12 @@
         self.rest_percent - HEADROOM_MIN_PERCENT - self.taken_percent
     }
 
-    fn read(&mut self, fillers: &[Filler], harm: &Harm) {
+    fn read(&mut self, fillers: &[Filler], harm: &ContentionModel) {
         let rests = self.groups.iter().map(|it| harm.rest_percent(self.image, *it));
         self.rest_percent = rests.fold(f64::MAX, f64::min);
         self.taken_percent = harm.taken_percent(self.image, fillers);
         let uses = self.groups.iter().map(|it| harm.use_share(self.image, *it));
-        self.use_share = uses.reduce(f64::max).unwrap_or(MEAN_USE_SHARE);
+        self.use_share = uses.reduce(f64::max).unwrap_or(MEAN_CPU_USE_SHARE);
     }
 }
 
@@ -108,7 +114,7 @@
         workflows: &Workflows,
         id: WorkerId,
         worker: &Worker,
-        harm: &mut Harm,
+        harm: &mut ContentionModel,
     ) -> Room {
         let mut res = Room {
             id,
@@ -146,7 +152,7 @@
     }
 
     /// Reads loads and costs anew.
-    fn read(&mut self, harm: &Harm) {
+    fn read(&mut self, harm: &ContentionModel) {
         for it in &mut self.served {
             it.read(&self.fillers, harm);
         }
@@ -161,7 +167,7 @@
                 rest_percent: f64::MAX,
                 taken_percent: 0.0,
                 millicores: 0,
-                use_share: MEAN_USE_SHARE,
+                use_share: MEAN_CPU_USE_SHARE,
             });
             self.served.len() - 1
         });
@@ -189,17 +195,17 @@
     }
 
     /// Returns the share of its speed that a further filler would reach.
-    pub(super) fn speed_of(&self, image: ImageKey, millicores: u32, harm: &Harm) -> f64 {
+    pub(super) fn speed_of(&self, image: ImageKey, millicores: u32, harm: &ContentionModel) -> f64 {
         let processor = f64::from(self.unused_millicores()) / f64::from(millicores.max(1));
         let pace = |it: &Served| match harm.cost_percent(it.image, image) * self.cores(millicores) {
-            cost if cost <= NEGLIGIBLE_PERCENT => 1.0,
+            cost if cost <= NEGLIGIBLE_COST_PERCENT => 1.0,
             cost => it.room_percent() / cost,
         };
         self.served.iter().map(pace).fold(processor, f64::min).clamp(0.0, 1.0)
     }
 
     /// Returns what a further filler would take from all images that serve here.
-    fn cost_of(&self, image: ImageKey, millicores: u32, harm: &Harm) -> f64 {
+    fn cost_of(&self, image: ImageKey, millicores: u32, harm: &ContentionModel) -> f64 {
         let costs = self.served.iter().map(|it| harm.cost_percent(it.image, image));
         costs.sum::<f64>() * self.cores(millicores)
     }
@@ -217,8 +223,8 @@
         &self,
         asked: &Asked<'_>,
         placed: u32,
-        care: Care,
-        harm: &Harm,
+        care: PlacementMode,
+        harm: &ContentionModel,
     ) -> Option<Preference> {
         if !self.holds(asked, placed) {
             return None;
@@ -230,12 +236,12 @@
             // Where it is fast, then where it costs least, then where most is unused.
             Work::Filler { image, millicores } => {
                 let speed = self.speed_of(image, millicores, harm);
-                if care == Care::KeepTails && speed < SPEED_MIN {
+                if care == PlacementMode::ProtectLatency && speed < SPEED_MIN {
                     return None;
                 }
                 [
                     (speed * 10.0) as i64,
-                    -(self.cost_of(image, millicores, harm) / NEGLIGIBLE_PERCENT) as i64,
+                    -(self.cost_of(image, millicores, harm) / NEGLIGIBLE_COST_PERCENT) as i64,
                     i64::from(self.unused_millicores()),
                 ]
             }
@@ -245,7 +251,11 @@
                 let taken = harm.taken_percent(image, &self.fillers);
                 let own_millicores = own.map_or(0, |it| i64::from(it.millicores));
                 let is_empty = i64::from(self.served.is_empty());
-                [-(taken / (5.0 * NEGLIGIBLE_PERCENT)) as i64, own_millicores + is_empty, packed]
+                [
+                    -(taken / (5.0 * NEGLIGIBLE_COST_PERCENT)) as i64,
+                    own_millicores + is_empty,
+                    packed,
+                ]
             }
             // What only reserves is packed, so that some workers are left to fillers.
             Work::Plain => [packed, 0, 0],
@@ -254,7 +264,7 @@
         Some(Preference { is_near, rank })
     }
 
-    pub(super) fn take(&mut self, asked: &Asked<'_>, harm: &Harm) {
+    pub(super) fn take(&mut self, asked: &Asked<'_>, harm: &ContentionModel) {
         self.free = subtract(self.free, asked.reserve);
         match asked.work {
             Work::Filler { image, millicores } => {
@@ -273,7 +283,7 @@
     }
 
     /// Takes back a placement of a gang that did not fit whole.
-    pub(super) fn give_back(&mut self, asked: &Asked<'_>, harm: &Harm) {
+    pub(super) fn give_back(&mut self, asked: &Asked<'_>, harm: &ContentionModel) {
         self.free = add(self.free, asked.reserve);
         if let Work::Filler { image, millicores } = asked.work {
             self.filler_millicores -= millicores;
@@ -281,7 +291,7 @@
         }
     }
 
-    fn change_fillers(&mut self, image: ImageKey, cores: f64, harm: &Harm) {
+    fn change_fillers(&mut self, image: ImageKey, cores: f64, harm: &ContentionModel) {
         self.note_filler(image, cores);
         for it in &mut self.served {
             it.taken_percent += harm.cost_percent(it.image, image) * cores;
@@ -289,7 +299,7 @@
     }
 
     /// Returns what a core of each image of fillers here takes from each image that serves.
-    pub(super) fn costs(&self, harm: &Harm) -> Vec<ImageCost> {
+    pub(super) fn costs(&self, harm: &ContentionModel) -> Vec<ImageCost> {
         let core = self.cores(1_000);
         let cost = |serving: ImageKey, filler: ImageKey| ImageCost {
             serving: harm.image_name(serving).clone(),
@@ -313,9 +323,9 @@
 
 /// Whether a filler may be placed where it is slow or harms tails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Care {
-    KeepTails,
-    Anywhere,
+pub(super) enum PlacementMode {
+    ProtectLatency,
+    AnyWorker,
 }
 
 /// The rooms of all workers in the ledger.
@@ -336,7 +346,7 @@
     }
 
     /// Counts rooms that a plan looked at.
-    pub(super) fn note_looks(&mut self, looks: u64) {
+    pub(super) fn note_visited(&mut self, looks: u64) {
         self.looks += looks;
     }
 
@@ -349,7 +359,7 @@
     pub(super) fn get(
         &mut self,
         workflows: &Workflows,
-        harm: &mut Harm,
+        harm: &mut ContentionModel,
         id: WorkerId,
     ) -> Option<&Room> {
         if self.stale.remove(&id) {
@@ -359,7 +369,7 @@
     }
 
     /// Brings all rooms up to what the ledger and the reports say.
-    pub(super) fn refresh(&mut self, workflows: &Workflows, harm: &mut Harm, now: Now) {
+    pub(super) fn refresh(&mut self, workflows: &Workflows, harm: &mut ContentionModel, now: Now) {
         for id in std::mem::take(&mut self.stale) {
             self.make(workflows, harm, id);
         }
@@ -375,7 +385,7 @@
         &mut self,
         workflows: &Workflows,
         sessions: &Sessions,
-        usable: Usable,
+        usable: UsabilityCriteria,
     ) -> Vec<&mut Room> {
         self.looks += self.rooms.len() as u64;
         let is_usable = |id| sessions.is_usable(id, usable) && !workflows.is_evacuated(id);
@@ -387,7 +397,11 @@
     /// # Errors
     ///
     /// Returns the first room that is not.
-    pub(super) fn audit(&self, workflows: &Workflows, harm: &mut Harm) -> Result<(), String> {
+    pub(super) fn audit(
+        &self,
+        workflows: &Workflows,
+        harm: &mut ContentionModel,
+    ) -> Result<(), String> {
         for (id, worker) in workflows.workers().iter().filter(|(id, _)| !self.stale.contains(id)) {
             let made = Room::new(workflows, id, worker, harm);
             let kept = self.rooms.get(&id).cloned().map(|mut it| {
@@ -405,7 +419,7 @@
         }
     }
 
-    fn make(&mut self, workflows: &Workflows, harm: &mut Harm, id: WorkerId) {
+    fn make(&mut self, workflows: &Workflows, harm: &mut ContentionModel, id: WorkerId) {
         match workflows.workers().get(id) {
             Some(worker) => drop(self.rooms.insert(id, Room::new(workflows, id, worker, harm))),
             None => drop(self.rooms.remove(&id)),
--- a/src/control/dispatch/lost_workers.rs
+++ b/src/control/dispatch/lost_workers.rs
@@ -7,7 +7,7 @@
         dispatch::{Dispatcher, run_name, sessions::Session},
         state::{Worker, Workflows},
     },
-    policy::crash_evidence::is_outlived,
+    policy::crash_evidence::is_too_old_to_suspect,
     prelude::*,
 };
 
@@ -21,7 +21,7 @@
 
 /// Why a worker is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Loss {
+pub(super) enum LossCause {
     /// Its node finds nobody at its address, and no end was announced.
     Crashed,
     /// Another lifetime announced itself in its place, and no end was announced.
@@ -32,23 +32,23 @@
     LeaseExpired,
 }
 
-impl Loss {
+impl LossCause {
     fn as_str(self) -> &'static str {
         match self {
-            Loss::Crashed => "crashed",
-            Loss::Replaced => "replaced",
-            Loss::Left => "left",
-            Loss::LeaseExpired => "lease_expired",
+            LossCause::Crashed => "crashed",
+            LossCause::Replaced => "replaced",
+            LossCause::Left => "left",
+            LossCause::LeaseExpired => "lease_expired",
         }
     }
 }
 
 impl Dispatcher {
     /// Gives up a worker: its runs end, and it leaves the ledger.
-    pub(super) fn lose(&mut self, workflows: &Workflows, id: WorkerId, loss: Loss, now: Now) {
+    pub(super) fn lose(&mut self, workflows: &Workflows, id: WorkerId, loss: LossCause, now: Now) {
         let Some(worker) = workflows.workers().get(id) else { return };
         self.log_loss(workflows, id, worker, loss, now);
-        if matches!(loss, Loss::Crashed | Loss::Replaced) {
+        if matches!(loss, LossCause::Crashed | LossCause::Replaced) {
             self.trials.note_crash(now);
         }
         let ends = self.sessions.get(id).map(|it| ends_of_lost(workflows, it, worker, loss, now));
@@ -58,16 +58,18 @@
         self.step.commands.push(WorkflowCommand::Finish(finish));
         self.step.commands.push(WorkflowCommand::Dismiss(id));
         if let Some(it) = self.sessions.get_mut(id) {
-            it.is_ending = true;
+            it.is_being_dismissed = true;
         }
     }
 
     /// Gives up the lifetimes that another one beside the same node takes the place of.
-    pub(super) fn lose_replaced(&mut self, workflows: &Workflows, node: SocketAddr, now: Now) {
+    pub(super) fn mark_replaced_lost(&mut self, workflows: &Workflows, node: SocketAddr, now: Now) {
         for id in workflows.workers().beside(node) {
-            let Some(session) = self.sessions.get(id).filter(|it| !it.is_ending) else { continue };
+            let Some(session) = self.sessions.get(id).filter(|it| !it.is_being_dismissed) else {
+                continue;
+            };
             let is_leaving = session.report.as_ref().is_some_and(|it| it.draining);
-            let loss = if is_leaving { Loss::Left } else { Loss::Replaced };
+            let loss = if is_leaving { LossCause::Left } else { LossCause::Replaced };
             self.lose(workflows, id, loss, now);
         }
     }
@@ -76,9 +78,9 @@
     ///
     /// A node that went down with it has not: after a loss of power of all VMs a task began a fourth
     /// time, with three attempts allowed.
-    fn settle_last(&mut self, workflows: &Workflows, id: WorkerId, loss: Loss) {
-        let lapsed = workflows.failures_on(id);
-        if matches!(loss, Loss::Crashed | Loss::Left) && !lapsed.is_empty() {
+    fn settle_last(&mut self, workflows: &Workflows, id: WorkerId, loss: LossCause) {
+        let lapsed = workflows.unsettled_failures_on(id);
+        if matches!(loss, LossCause::Crashed | LossCause::Left) && !lapsed.is_empty() {
             let settle = SettleFailures { counted: Vec::new(), lapsed };
             self.step.commands.push(WorkflowCommand::Settle(settle));
         }
@@ -88,15 +90,22 @@
     /// that these were taken note of.
     pub(super) fn settle_lost(&mut self, workflows: &Workflows, now: Now) {
         let before_ms = now.wall_ms.saturating_sub(LOST_FAILURES_MAX_MS);
-        let counted = workflows.failures_lost_before(before_ms);
+        let counted = workflows.lost_failures_before(before_ms);
         if !counted.is_empty() {
             let settle = SettleFailures { counted, lapsed: Vec::new() };
             self.step.commands.push(WorkflowCommand::Settle(settle));
         }
     }
 
-    fn log_loss(&self, workflows: &Workflows, id: WorkerId, worker: &Worker, loss: Loss, now: Now) {
-        if loss == Loss::Left {
+    fn log_loss(
+        &self,
+        workflows: &Workflows,
+        id: WorkerId,
+        worker: &Worker,
+        loss: LossCause,
+        now: Now,
+    ) {
+        if loss == LossCause::Left {
             tracing::info!(event = "worker_left", worker = %worker.name, node = %worker.node, runs = worker.runs.len());
             return;
         }
@@ -124,7 +133,7 @@
     workflows: &Workflows,
     session: &Session,
     worker: &Worker,
-    loss: Loss,
+    loss: LossCause,
     now: Now,
 ) -> Vec<RunEnd> {
     let report = session.report.as_ref();
@@ -132,13 +141,14 @@
     let is_refused =
         |run: RunRef| report.is_some_and(|it| it.refused.iter().any(|it| it.run == run));
     let seen_ms = |run: RunRef| session.watched.get(&run).map_or(0, |it| now.mono_ms - it.since_ms);
-    let looks_outlived =
-        |run: RunRef| workflows.suspects().age_ms(run, now.wall_ms).is_some_and(is_outlived);
-    let is_age_known = |run: RunRef| !looks_outlived(run) || is_outlived(seen_ms(run));
+    let looks_outlived = |run: RunRef| {
+        workflows.suspects().age_ms(run, now.wall_ms).is_some_and(is_too_old_to_suspect)
+    };
+    let is_age_known = |run: RunRef| !looks_outlived(run) || is_too_old_to_suspect(seen_ms(run));
     let outcome = |run: RunRef| match loss {
-        Loss::Crashed if listed(run).is_some() && is_age_known(run) => RunOutcome::Crashed,
-        Loss::Crashed | Loss::Replaced => RunOutcome::CrashedUnseen,
-        Loss::Left | Loss::LeaseExpired => RunOutcome::Lapsed,
+        LossCause::Crashed if listed(run).is_some() && is_age_known(run) => RunOutcome::Crashed,
+        LossCause::Crashed | LossCause::Replaced => RunOutcome::CrashedUnseen,
+        LossCause::Left | LossCause::LeaseExpired => RunOutcome::Lapsed,
     };
     let end = |run: &RunRef| RunEnd {
         run: *run,
--- a/src/control/dispatch/mod.rs
+++ b/src/control/dispatch/mod.rs
@@ -15,17 +15,17 @@
 
 use crate::{
     control::state::Workflows,
-    policy::contention::{Filler, Harm, Serving, headroom_percent, reference_cores},
+    policy::contention::{ContentionModel, Filler, Serving, headroom_percent, reference_cores},
     prelude::*,
 };
 
 use self::{
     capacity::Rooms,
-    lost_workers::Loss,
-    probations::Trials,
+    lost_workers::LossCause,
+    probations::Probations,
     retention::Readings,
     run_monitor::{Watch, Work},
-    sessions::{Sessions, SlowRun, Usable},
+    sessions::{Sessions, SlowRun, UsabilityCriteria},
 };
 pub use self::{orders::run_name, plan::PlanOptions, requests::Verdict, sessions::Session};
 
@@ -70,9 +70,9 @@
     options: DispatchOptions,
     term: u64,
     sessions: Sessions,
-    harm: Harm,
+    harm: ContentionModel,
     rooms: Rooms,
-    trials: Trials,
+    trials: Probations,
     idle_since: plan::IdleSince,
     waits: plan::Waits,
     /// Runs proposed and not yet in the ledger; the next plan waits for them.
@@ -96,9 +96,9 @@
             options,
             term,
             sessions: Sessions::take_over(workflows, now.mono_ms + options.held_ms()),
-            harm: Harm::with_known(workflows.costs(), now.mono_ms),
+            harm: ContentionModel::with_known_costs(workflows.costs(), now.mono_ms),
             rooms,
-            trials: Trials::take_over(workflows, now),
+            trials: Probations::take_over(workflows, now),
             idle_since: plan::IdleSince::default(),
             waits: plan::Waits::default(),
             begin_in_flight: false,
@@ -178,13 +178,13 @@
         self.plans += 1;
         self.planned_ms = now.mono_ms;
         self.plan_at_ms = now.mono_ms + self.options.plan.interval_ms;
-        let basis = plan::Basis {
+        let basis = plan::PlanInput {
             workflows,
             sessions: &self.sessions,
             rooms: &mut self.rooms,
             harm: &mut self.harm,
             trials: self.trials.under_way(now),
-            usable: Usable { term: self.term, silent_ms: self.options.silent_ms, now },
+            usable: UsabilityCriteria { term: self.term, silent_ms: self.options.silent_ms, now },
         };
         let plan = plan::plan(basis, &mut self.idle_since, &mut self.waits);
         if !plan.runs.is_empty() {
@@ -235,8 +235,10 @@
                 self.settle_failures(workflows, it.worker);
                 self.send_grant(workflows, it.worker, members, now);
                 let ended = it.ends.iter().map(|it| it.run);
-                for it in
-                    workflows.superfluous_after(ended).into_iter().filter(|id| *id != it.worker)
+                for it in workflows
+                    .workers_with_redundant_runs(ended)
+                    .into_iter()
+                    .filter(|id| *id != it.worker)
                 {
                     self.send_orders(workflows, it, members);
                 }
@@ -256,7 +258,7 @@
                 self.want_plan(PLAN_PAUSE_MS);
             }
             WorkflowCommand::Settle(it) => {
-                for it in workflows.superfluous_after(it.counted.iter().copied()) {
+                for it in workflows.workers_with_redundant_runs(it.counted.iter().copied()) {
                     self.send_orders(workflows, it, members);
                 }
                 self.want_plan(PLAN_PAUSE_MS);
@@ -274,7 +276,7 @@
     }
 
     /// Learns that runs proposed did not come into the ledger.
-    pub fn note_unproposed(&mut self) {
+    pub fn note_begin_rejected(&mut self) {
         self.begin_in_flight = false;
         self.want_plan(PLAN_PAUSE_MS);
     }
@@ -294,13 +296,13 @@
                 .watched
                 .entry(task.run)
                 .or_insert_with(|| Watch::new(workflows, &mut self.harm, task, now.mono_ms));
-            watch.listed_in = session.number;
+            watch.last_report_number = session.number;
             if watch.observe(task, now.mono_ms) && !watch.evicted {
                 watch.evicted = true;
                 session.soundness.note_stalled(now.mono_ms);
                 tracing::warn!(event = "run_stalled", run = %run_name(task.run), worker = %report.name, progress_percent = task.progress_percent);
             }
-            if let Some(share) = watch.slow_share(now.mono_ms) {
+            if let Some(share) = watch.speed_share_if_slow(now.mono_ms) {
                 let progress_percent = task.progress_percent;
                 session.slow.push(SlowRun { run: task.run, worker: id, share, progress_percent });
             }
@@ -325,7 +327,7 @@
             session.seen.retain(|it| worker.runs.contains(it));
         }
         let number = session.number;
-        session.watched.retain(|_, it| it.listed_in == number);
+        session.watched.retain(|_, it| it.last_report_number == number);
         self.sessions.note_slow(id);
         self.harm.observe(&serving, &fillers, now.mono_ms);
     }
@@ -350,7 +352,7 @@
     /// Dismisses workers whose lease is over: what ran there has been killed by now.
     fn expire(&mut self, workflows: &Workflows, now: Now) {
         for id in self.sessions.take_expired(now.mono_ms) {
-            self.lose(workflows, id, Loss::LeaseExpired, now);
+            self.lose(workflows, id, LossCause::LeaseExpired, now);
         }
     }
 }
--- a/src/control/dispatch/orders.rs
+++ b/src/control/dispatch/orders.rs
@@ -8,12 +8,12 @@
 use crate::{
     control::{
         dispatch::{
-            Dispatcher, LOAD_PAUSE_MS, PLAN_PAUSE_MS, lost_workers::Loss, sessions::Session,
+            Dispatcher, LOAD_PAUSE_MS, PLAN_PAUSE_MS, lost_workers::LossCause, sessions::Session,
         },
-        state::{NOTHING, Worker, Workflows, fits},
+        state::{NO_RESOURCES, Worker, Workflows, fits},
     },
     prelude::*,
-    util::id_of_lifetime,
+    util::id_of_incarnation,
 };
 
 impl Dispatcher {
@@ -40,14 +40,14 @@
                 }
                 false if self.may_be_lifetime_before(workflows, report.node, &seen.name) => (),
                 false => {
-                    self.lose_replaced(workflows, report.node, now);
+                    self.mark_replaced_lost(workflows, report.node, now);
                     self.step.commands.push(WorkflowCommand::Enrol(enrolment(report.node, &seen)));
                 }
             }
             return self.send_empty_grant(workflows, report.node, report.number, members);
         };
         let Some(session) = self.sessions.get_mut(id) else { return };
-        if session.is_ending {
+        if session.is_being_dismissed {
             // Too late to renew anything.
             return;
         }
@@ -58,7 +58,7 @@
         session.sent_ms = report.sent_ms;
         session.heard_ms = now.mono_ms;
         if is_other_node {
-            session.told_costs.clear();
+            session.sent_costs.clear();
         }
         if seen.draining && !before.is_some_and(|(draining, _)| draining) {
             tracing::info!(event = "worker_draining", worker = %seen.name, node = %report.node, remaining_ms = seen.remaining_ms);
@@ -75,7 +75,7 @@
         self.settle_failures(workflows, id);
         self.take_refusals(workflows, id);
         if is_gone {
-            let loss = if is_leaving { Loss::Left } else { Loss::Crashed };
+            let loss = if is_leaving { LossCause::Left } else { LossCause::Crashed };
             return self.lose(workflows, id, loss, now);
         }
         // Ends are answered once they are in the ledger, a commit later: one answer in place of
@@ -88,7 +88,7 @@
     /// Returns whether a lifetime may be one that an earlier version enrolled by its id alone, so that
     /// what runs there is known only once that one's lease is over.
     fn may_be_lifetime_before(&self, workflows: &Workflows, node: SocketAddr, name: &str) -> bool {
-        let Some(id) = id_of_lifetime(name) else { return false };
+        let Some(id) = id_of_incarnation(name) else { return false };
         workflows.workers().find(node, id).is_some()
     }
 
@@ -123,7 +123,7 @@
     /// Proposes what becomes of failures of which the worker has heard, or never will.
     pub(super) fn settle_failures(&mut self, workflows: &Workflows, id: WorkerId) {
         let Some(report) = self.sessions.get(id).and_then(|it| it.report.as_ref()) else { return };
-        let settled = workflows.settled_by(id, report.noted);
+        let settled = workflows.failures_to_settle(id, report.noted);
         self.step.commands.extend(settled.map(WorkflowCommand::Settle));
     }
 
@@ -161,7 +161,7 @@
             is_complete: false,
             lease_ms: 0,
             worker: CompactString::default(),
-            capacity: NOTHING,
+            capacity: NO_RESOURCES,
             acked_cursor: 0,
             orders: Vec::new(),
             services: services(workflows),
@@ -181,7 +181,7 @@
     ) {
         let held_until_ms = now.mono_ms + self.options.held_ms();
         if let Some(it) = self.sessions.get_mut(id)
-            && !it.is_ending
+            && !it.is_being_dismissed
             && 0 < it.number
         {
             it.held_until_ms = held_until_ms;
@@ -236,9 +236,9 @@
         let costs = self.rooms.get(workflows, &mut self.harm, id).map(|it| it.costs(&self.harm));
         if let (Some(costs), Some(session)) = (costs, self.sessions.get_mut(id))
             && (session.told_ms + TOLD_AGAIN_MS <= session.heard_ms
-                || differ(&costs, &session.told_costs))
+                || differ(&costs, &session.sent_costs))
         {
-            session.told_costs = costs.clone();
+            session.sent_costs = costs.clone();
             session.told_ms = session.heard_ms;
             grant.costs = costs;
         }
@@ -315,7 +315,7 @@
     let mut res = Vec::new();
     for run in &worker.runs {
         match session.watched.contains_key(run) {
-            _ if workflows.is_superfluous(*run) => res.push(RunOrder::Stop(*run)),
+            _ if workflows.is_redundant(*run) => res.push(RunOrder::Stop(*run)),
             true if session.is_evicted(*run) => res.push(RunOrder::Stop(*run)),
             true if report.roles_missing => {
                 let role = role_of(workflows, run.task);
--- a/src/control/dispatch/plan/builder.rs
+++ b/src/control/dispatch/plan/builder.rs
@@ -8,22 +8,22 @@
 use crate::{
     control::{
         dispatch::{
-            capacity::{Asked, Care, Preference, Room},
-            probations::Trials,
+            capacity::{Asked, PlacementMode, Preference, Room},
+            probations::Probations,
             run_monitor::Work,
         },
         state::{StepState, Workflow, Workflows},
     },
-    policy::contention::{Harm, images::ImageKey},
+    policy::contention::{ContentionModel, images::ImageKey},
     prelude::*,
 };
 
 /// A plan while it is made.
-pub(super) struct Placing<'a, 'r> {
+pub(super) struct PlanBuilder<'a, 'r> {
     workflows: &'a Workflows,
     rooms: Vec<&'r mut Room>,
-    harm: &'a mut Harm,
-    trials: Trials,
+    harm: &'a mut ContentionModel,
+    trials: Probations,
     runs: Vec<RunPlacement>,
     touched: BTreeSet<WorkerId>,
     /// Needs for which no room was left: rooms only shrink while a plan is made, so that whoever
@@ -70,15 +70,15 @@
     }
 }
 
-impl<'a, 'r> Placing<'a, 'r> {
+impl<'a, 'r> PlanBuilder<'a, 'r> {
     pub(super) fn new(
         workflows: &'a Workflows,
         rooms: Vec<&'r mut Room>,
-        harm: &'a mut Harm,
-        trials: Trials,
-    ) -> Placing<'a, 'r> {
+        harm: &'a mut ContentionModel,
+        trials: Probations,
+    ) -> PlanBuilder<'a, 'r> {
         let (runs, touched, unmet) = (Vec::new(), BTreeSet::new(), Vec::new());
-        Placing { workflows, rooms, harm, trials, runs, touched, unmet, looks: Cell::new(0) }
+        PlanBuilder { workflows, rooms, harm, trials, runs, touched, unmet, looks: Cell::new(0) }
     }
 
     pub(super) fn workflows(&self) -> &'a Workflows {
@@ -89,7 +89,7 @@
         &self.rooms
     }
 
-    pub(super) fn trials(&self) -> &Trials {
+    pub(super) fn trials(&self) -> &Probations {
         &self.trials
     }
 
@@ -108,13 +108,14 @@
     }
 
     /// Places the tasks of a step that wait, as far as there is room.
-    pub(super) fn place(&mut self, at: StepRef, workflow: &Workflow, care: Care) {
+    pub(super) fn place(&mut self, at: StepRef, workflow: &Workflow, care: PlacementMode) {
         let Some(queue) = self.workflows.queue(&workflow.queue) else { return };
         let Some(step) = workflow.spec.steps.get(at.step as usize) else { return };
         let Some(state) = state_of(workflow, at) else { return };
         let asked = Asked::new(step, queue, self.harm);
         let need = Unmet::new(&asked);
-        if care == Care::KeepTails && self.unmet.iter().any(|it| it.rules_out(&need)) {
+        if care == PlacementMode::ProtectLatency && self.unmet.iter().any(|it| it.rules_out(&need))
+        {
             return;
         }
         let waiting: Vec<_> = state
@@ -131,12 +132,15 @@
             true => self.place_gang(at, &asked, state, &waiting, care),
             false => {
                 // One that runs is enough not to be idle.
-                let most = if care == Care::Anywhere { 1 } else { usize::MAX };
+                let most = if care == PlacementMode::AnyWorker { 1 } else { usize::MAX };
                 let most = most.min(waiting.len());
                 let Parted { tried, free } = self.split(at, &waiting[..most]);
                 self.place_tried(at, &asked, state, &tried, care);
                 let placed = self.place_tasks(at, &asked, state, &free, care);
-                if placed < free.len() && care == Care::KeepTails && step.per_worker_max == 0 {
+                if placed < free.len()
+                    && care == PlacementMode::ProtectLatency
+                    && step.per_worker_max == 0
+                {
                     self.unmet.push(need);
                 }
             }
@@ -150,7 +154,7 @@
         asked: &Asked<'_>,
         state: &StepState,
         waiting: &[(u32, u32)],
-        care: Care,
+        care: PlacementMode,
     ) {
         let run = waiting.iter().map(|(_, run)| *run).max().unwrap_or(1);
         let members: Vec<_> = waiting.iter().map(|(index, _)| (*index, run)).collect();
@@ -172,13 +176,13 @@
 
     /// Returns whether a task need not wait for a calm.
     pub(super) fn may_begin(&self, task: TaskRef) -> bool {
-        self.trials.is_calm() || !self.workflows.suspects().needs_calm(task)
+        self.trials.is_quiet() || !self.workflows.suspects().needs_quiet_period(task)
     }
 
     /// Parts tasks into those that must be tried and the others.
     fn split(&self, at: StepRef, tasks: &[(u32, u32)]) -> Parted {
         let suspects = self.workflows.suspects();
-        let must_be_tried = |(index, _): &(u32, u32)| suspects.needs_trial(task_of(at, *index));
+        let must_be_tried = |(index, _): &(u32, u32)| suspects.needs_probation(task_of(at, *index));
         let (tried, free) = tasks.iter().copied().partition(must_be_tried);
         Parted { tried, free }
     }
@@ -193,7 +197,7 @@
         asked: &Asked<'_>,
         state: &StepState,
         tasks: &[(u32, u32)],
-        care: Care,
+        care: PlacementMode,
     ) -> usize {
         let mut counts = counts_of(asked.step, state);
         let must_wait = self.trials.are_many(self.rooms.len());
@@ -225,12 +229,12 @@
         &self,
         asked: &Asked<'_>,
         counts: &HashMap<WorkerId, u32>,
-        care: Care,
+        care: PlacementMode,
     ) -> Option<usize> {
         let loss = |it: &usize| {
             let id = self.rooms[*it].id;
             let runs = self.workflows.workers().get(id).map(|it| it.runs.len());
-            (self.trials.is_newcomer(id), runs, *it)
+            (self.trials.is_recently_enrolled(id), runs, *it)
         };
         self.offers(asked, counts, care).into_iter().map(|(_, it)| it).min_by_key(loss)
     }
@@ -244,7 +248,7 @@
         asked: &Asked<'_>,
         state: &StepState,
         tasks: &[(u32, u32)],
-        care: Care,
+        care: PlacementMode,
     ) -> usize {
         let mut counts = counts_of(asked.step, state);
         let mut offers = self.offers(asked, &counts, care);
@@ -268,7 +272,7 @@
         &self,
         asked: &Asked<'_>,
         counts: &HashMap<WorkerId, u32>,
-        care: Care,
+        care: PlacementMode,
     ) -> BinaryHeap<(Preference, usize)> {
         let offer = |(at, room): (usize, &&'r mut Room)| {
             if self.trials.contains(room.id) {
@@ -282,7 +286,11 @@
     }
 
     /// Returns the best worker for one more task of a step, and the speed that it has there.
-    pub(super) fn best_for(&mut self, at: StepRef, workflow: &'a Workflow) -> Option<Found<'a>> {
+    pub(super) fn best_for(
+        &mut self,
+        at: StepRef,
+        workflow: &'a Workflow,
+    ) -> Option<MoveTarget<'a>> {
         let queue = self.workflows.queue(&workflow.queue)?;
         let state = state_of(workflow, at)?;
         let step = workflow.spec.steps.get(at.step as usize)?;
@@ -291,7 +299,8 @@
         if self.unmet.iter().any(|it| it.rules_out(&need)) {
             return None;
         }
-        let Some((_, room)) = self.offers(&asked, &counts_of(step, state), Care::KeepTails).pop()
+        let Some((_, room)) =
+            self.offers(&asked, &counts_of(step, state), PlacementMode::ProtectLatency).pop()
         else {
             if step.per_worker_max == 0 {
                 self.unmet.push(need);
@@ -304,11 +313,11 @@
             }
             _ => 1.0,
         };
-        Some(Found { room, worker: self.rooms[room].id, speed, asked })
+        Some(MoveTarget { room, worker: self.rooms[room].id, speed, asked })
     }
 
     /// Keeps what was found for a run that is to move there.
-    pub(super) fn keep(&mut self, it: &Found<'_>) {
+    pub(super) fn keep(&mut self, it: &MoveTarget<'_>) {
         let room = &mut self.rooms[it.room];
         room.take(&it.asked, self.harm);
         self.touched.insert(room.id);
@@ -323,7 +332,7 @@
 
 /// A worker that would take one more task.
 #[derive(Clone, Copy)]
-pub(super) struct Found<'a> {
+pub(super) struct MoveTarget<'a> {
     room: usize,
     pub worker: WorkerId,
     pub speed: f64,
--- a/src/control/dispatch/plan/mod.rs
+++ b/src/control/dispatch/plan/mod.rs
@@ -12,20 +12,20 @@
 use crate::{
     control::{
         dispatch::{
-            capacity::{Care, Room, Rooms},
-            probations::Trials,
-            sessions::{Sessions, SlowRun, Usable},
+            capacity::{PlacementMode, Room, Rooms},
+            probations::Probations,
+            sessions::{Sessions, SlowRun, UsabilityCriteria},
         },
         state::{Occurrence, Workflow, Workflows},
     },
     policy::{
-        contention::Harm,
+        contention::ContentionModel,
         urgency::{Claim, Urgency, urgency},
     },
     prelude::*,
 };
 
-use self::builder::Placing;
+use self::builder::PlanBuilder;
 pub(super) use self::waiting_steps::Waits;
 
 /// What the planner is told by the settings.
@@ -63,19 +63,19 @@
 }
 
 /// What a plan is made from.
-pub(super) struct Basis<'a> {
+pub(super) struct PlanInput<'a> {
     pub workflows: &'a Workflows,
     pub sessions: &'a Sessions,
     pub rooms: &'a mut Rooms,
-    pub harm: &'a mut Harm,
+    pub harm: &'a mut ContentionModel,
     /// Workers where nothing may begin, since a task is tried there.
-    pub trials: Trials,
-    pub usable: Usable,
+    pub trials: Probations,
+    pub usable: UsabilityCriteria,
 }
 
 /// Returns the runs to begin now, and those to move.
-pub(super) fn plan(basis: Basis<'_>, idle_since: &mut IdleSince, waits: &mut Waits) -> Plan {
-    let Basis { workflows, sessions, rooms, harm, trials, usable } = basis;
+pub(super) fn plan(basis: PlanInput<'_>, idle_since: &mut IdleSince, waits: &mut Waits) -> Plan {
+    let PlanInput { workflows, sessions, rooms, harm, trials, usable } = basis;
     let now = usable.now;
     let candidates = candidates(workflows, now);
     let slow = sessions.slow_runs(workflows, usable);
@@ -86,9 +86,9 @@
     }
     rooms.refresh(workflows, harm, now);
     let mut placing =
-        Placing::new(workflows, rooms.usable(workflows, sessions, usable), harm, trials);
+        PlanBuilder::new(workflows, rooms.usable(workflows, sessions, usable), harm, trials);
     for it in &candidates {
-        placing.place(it.at, it.workflow, Care::KeepTails);
+        placing.place(it.at, it.workflow, PlacementMode::ProtectLatency);
     }
     let idle = idle(&candidates, &placing);
     let ids: HashSet<_> = idle.iter().map(|it| it.at.workflow).collect();
@@ -97,14 +97,14 @@
     for it in idle {
         let since_ms = *idle_since.entry(it.at.workflow).or_insert(now.mono_ms);
         if has_room && since_ms + IDLE_MAX_MS <= now.mono_ms {
-            placing.place(it.at, it.workflow, Care::Anywhere);
+            placing.place(it.at, it.workflow, PlacementMode::AnyWorker);
         }
     }
     waits.note(&candidates, &placing, now.mono_ms);
     let moves = moves::moves(&slow, &mut placing);
     let looks = placing.looks();
     let (runs, touched) = placing.finish();
-    rooms.note_looks(looks);
+    rooms.note_visited(looks);
     touched.into_iter().for_each(|it| rooms.note_changed(it));
     Plan { runs, moves }
 }
@@ -112,13 +112,14 @@
 /// Returns the candidates of workflows that run nowhere, nor will by this plan.
 fn idle<'a, 'b>(
     candidates: &'a [Candidate<'b>],
-    placing: &Placing<'_, '_>,
+    placing: &PlanBuilder<'_, '_>,
 ) -> Vec<&'a Candidate<'b>> {
     // What is placed on a worker that is silent may no longer run.
     let heard: HashSet<_> = placing.rooms().iter().map(|it| it.id).collect();
     let placed: HashSet<_> = placing.runs().iter().map(|it| it.run.task.workflow).collect();
-    let is_idle =
-        |it: &&Candidate<'_>| !placed.contains(&it.at.workflow) && !it.workflow.has_run_on(&heard);
+    let is_idle = |it: &&Candidate<'_>| {
+        !placed.contains(&it.at.workflow) && !it.workflow.has_run_on_any(&heard)
+    };
     candidates.iter().filter(is_idle).collect()
 }
 
@@ -152,8 +153,8 @@
     let step = at.step as usize;
     let claim = Claim {
         priority: queue.priority,
-        is_lasting: workflow.spec.steps.get(step)?.lasting,
-        due_by_ms: workflow.accepted_ms.max(due_ms) + objective_ms,
+        is_long_running: workflow.spec.steps.get(step)?.lasting,
+        objective_deadline_ms: workflow.accepted_ms.max(due_ms) + objective_ms,
         remaining_ms: tails_ms[step],
         work_core_ms: work_core_ms(workflow, occurrence),
     };
--- a/src/control/dispatch/plan/moves.rs
+++ b/src/control/dispatch/plan/moves.rs
@@ -7,17 +7,17 @@
 
 use crate::{
     control::dispatch::sessions::SlowRun,
-    policy::migration::{Movable, is_worth_moving},
+    policy::migration::{MigrationCandidate, is_worth_moving},
     prelude::*,
 };
 
-use super::builder::{Found, Placing};
+use super::builder::{MoveTarget, PlanBuilder};
 
 /// Most moves of one plan: reports of their effect come half a second later.
 const MOVES_MAX: usize = 8;
 
 /// Returns the runs to stop, because they would end sooner on workers that have room.
-pub(super) fn moves(slow: &[SlowRun], placing: &mut Placing<'_, '_>) -> Vec<SlowRun> {
+pub(super) fn moves(slow: &[SlowRun], placing: &mut PlanBuilder<'_, '_>) -> Vec<SlowRun> {
     let mut res = Vec::new();
     let mut best = BestPlaces::new();
     for it in slow {
@@ -34,23 +34,23 @@
 /// The best place for one more task of each step that was asked for. Tasks of a step are alike, and
 /// in overload as many are slow as the fleet is large: asked for each, a plan would take the square
 /// of that.
-type BestPlaces<'a> = HashMap<StepRef, Option<Found<'a>>>;
+type BestPlaces<'a> = HashMap<StepRef, Option<MoveTarget<'a>>>;
 
 /// Keeps a better place for a run, if there is one.
 fn moves_one<'a>(
     it: &SlowRun,
-    placing: &mut Placing<'a, '_>,
+    placing: &mut PlanBuilder<'a, '_>,
     best: &mut BestPlaces<'a>,
 ) -> Option<()> {
     let workflow = placing.workflows().get(it.run.task.workflow)?;
     let step = workflow.spec.steps.get(it.run.task.step as usize)?;
     let at = StepRef::of(it.run.task);
     let found = (*best.entry(at).or_insert_with(|| placing.best_for(at, workflow)))?;
-    let movable = Movable {
+    let movable = MigrationCandidate {
         estimate_ms: step.estimate_ms,
         progress_percent: it.progress_percent,
         checkpoints: step.checkpoints,
-        share_here: it.share,
+        current_speed_share: it.share,
     };
     let is_better = found.worker != it.worker && is_worth_moving(movable, found.speed);
     if !is_better {
--- a/src/control/dispatch/plan/waiting_steps.rs
+++ b/src/control/dispatch/plan/waiting_steps.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     control::{
-        dispatch::plan::{Candidate, builder::Placing},
+        dispatch::plan::{Candidate, builder::PlanBuilder},
         state::StepState,
     },
     prelude::*,
@@ -42,10 +42,10 @@
     pub(super) fn note(
         &mut self,
         candidates: &[Candidate<'_>],
-        placing: &Placing<'_, '_>,
+        placing: &PlanBuilder<'_, '_>,
         now_ms: u64,
     ) {
-        let lasting = candidates.iter().filter(|it| is_lasting(it));
+        let lasting = candidates.iter().filter(|it| is_long_running(it));
         let left: Vec<_> = lasting.filter_map(|it| Some((it, left_by(it, placing)?))).collect();
         self.steps.retain(|at, _| left.iter().any(|(it, _)| it.at == *at));
         let mut named = 0;
@@ -73,7 +73,7 @@
 }
 
 impl Left {
-    fn log(self, at: StepRef, waited_ms: u64, placing: &Placing<'_, '_>) {
+    fn log(self, at: StepRef, waited_ms: u64, placing: &PlanBuilder<'_, '_>) {
         let workers = placing.rooms().len();
         let cause = match self {
             _ if workers == 0 => "no_worker",
@@ -86,12 +86,12 @@
     }
 }
 
-fn is_lasting(it: &Candidate<'_>) -> bool {
+fn is_long_running(it: &Candidate<'_>) -> bool {
     it.workflow.spec.steps.get(it.at.step as usize).is_some_and(|it| it.lasting)
 }
 
 /// Returns the tasks of a step that have no run, nor will have by this plan.
-fn left_by(it: &Candidate<'_>, placing: &Placing<'_, '_>) -> Option<Left> {
+fn left_by(it: &Candidate<'_>, placing: &PlanBuilder<'_, '_>) -> Option<Left> {
     let occurrence = it.workflow.occurrences.get(it.at.occurrence as usize)?;
     let state: &StepState = occurrence.steps.get(it.at.step as usize)?;
     let is_placed = |index: u32| {
@@ -108,7 +108,7 @@
         step: it.at.step,
         index,
     };
-    let tried = waiting.iter().filter(|it| suspects.needs_trial(task(**it))).count();
+    let tried = waiting.iter().filter(|it| suspects.needs_probation(task(**it))).count();
     let held = waiting.iter().filter(|it| !placing.may_begin(task(**it))).count();
     (!waiting.is_empty()).then_some(Left { tasks: waiting.len(), suspects: tried, held })
 }
--- a/src/control/dispatch/probations.rs
+++ b/src/control/dispatch/probations.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     control::state::Workflows,
-    policy::crash_evidence::{CALM_MS, RATE_WINDOW_MS, TRIAL_MS},
+    policy::crash_evidence::{CRASH_RATE_WINDOW_MS, PROBATION_MS, QUIET_PERIOD_MS},
     prelude::*,
 };
 
@@ -18,36 +18,40 @@
 
 /// Time for which a worker counts as a newcomer, which a trial avoids: one that goes down and up
 /// by itself would be blamed on whatever is tried there. As long as the rate of crashes looks back.
-const NEWCOMER_MS: u64 = RATE_WINDOW_MS;
+const NEWCOMER_MS: u64 = CRASH_RATE_WINDOW_MS;
 
 /// The workers under trial, and those that have come lately.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Trials {
+pub(super) struct Probations {
     /// When each trial under way is over.
     until_ms: BTreeMap<WorkerId, u64>,
     newcomers_until_ms: BTreeMap<WorkerId, u64>,
     /// Until when no calm can be.
     calm_from_ms: u64,
-    is_calm: bool,
+    is_quiet: bool,
 }
 
-impl Trials {
+impl Probations {
     /// Takes the suspected tasks that run under a new leader for ones that have just begun.
-    pub(super) fn take_over(workflows: &Workflows, now: Now) -> Trials {
-        let suspects = workflows.suspects().iter().filter(|(_, it)| it.needs_trial());
+    pub(super) fn take_over(workflows: &Workflows, now: Now) -> Probations {
+        let suspects = workflows.suspects().iter().filter(|(_, it)| it.needs_probation());
         let runs = suspects.filter_map(|(task, _)| {
             let workflow = workflows.get(task.workflow)?;
             Some(workflow.task(task)?.runs.iter().map(|it| it.worker))
         });
-        let until_ms = runs.flatten().map(|it| (it, now.mono_ms + TRIAL_MS)).collect();
+        let until_ms = runs.flatten().map(|it| (it, now.mono_ms + PROBATION_MS)).collect();
         // What crashed under the leader before is not known.
-        Trials { until_ms, calm_from_ms: now.mono_ms + CALM_MS, ..Trials::default() }
+        Probations {
+            until_ms,
+            calm_from_ms: now.mono_ms + QUIET_PERIOD_MS,
+            ..Probations::default()
+        }
     }
 
     /// Takes in runs that have come into the ledger.
     pub(super) fn note_begun(&mut self, workflows: &Workflows, runs: &[RunPlacement], now: Now) {
-        let is_tried = |it: &&RunPlacement| workflows.suspects().needs_trial(it.run.task);
-        let until_ms = now.mono_ms + TRIAL_MS;
+        let is_tried = |it: &&RunPlacement| workflows.suspects().needs_probation(it.run.task);
+        let until_ms = now.mono_ms + PROBATION_MS;
         self.until_ms.extend(runs.iter().filter(is_tried).map(|it| (it.worker, until_ms)));
     }
 
@@ -58,17 +62,17 @@
 
     /// Takes in the crash of a worker.
     pub(super) fn note_crash(&mut self, now: Now) {
-        self.calm_from_ms = now.mono_ms + CALM_MS;
+        self.calm_from_ms = now.mono_ms + QUIET_PERIOD_MS;
     }
 
     /// Returns whether no worker has crashed lately.
-    pub(super) fn is_calm(&self) -> bool {
-        self.is_calm
+    pub(super) fn is_quiet(&self) -> bool {
+        self.is_quiet
     }
 
     /// Forgets the trials that are over, and returns the others.
-    pub(super) fn under_way(&mut self, now: Now) -> Trials {
-        self.is_calm = self.calm_from_ms <= now.mono_ms;
+    pub(super) fn under_way(&mut self, now: Now) -> Probations {
+        self.is_quiet = self.calm_from_ms <= now.mono_ms;
         self.until_ms.retain(|_, until_ms| now.mono_ms < *until_ms);
         self.newcomers_until_ms.retain(|_, until_ms| now.mono_ms < *until_ms);
         self.clone()
@@ -85,7 +89,7 @@
     }
 
     /// Returns whether a worker has come lately.
-    pub(super) fn is_newcomer(&self, worker: WorkerId) -> bool {
+    pub(super) fn is_recently_enrolled(&self, worker: WorkerId) -> bool {
         self.newcomers_until_ms.contains_key(&worker)
     }
 
--- a/src/control/dispatch/requests.rs
+++ b/src/control/dispatch/requests.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     control::dispatch::Dispatcher,
-    control::state::{WorkflowError, Workflows, check_queues, check_spec},
+    control::state::{ValidationError, Workflows, check_queues, check_spec},
     prelude::*,
 };
 
@@ -26,7 +26,7 @@
             }),
             WorkflowRequest::Install(it) => match check_queues(&it) {
                 Ok(()) => Verdict::Propose(WorkflowCommand::Install(it)),
-                Err(WorkflowError(why)) => {
+                Err(ValidationError(why)) => {
                     tracing::info!(event = "queues_refused", version = it.version, why = %why);
                     Verdict::Answer(WorkflowOutcome::Invalid(why))
                 }
@@ -52,7 +52,7 @@
 }
 
 fn evacuate(workflows: &Workflows, it: EvacuateRequest) -> Verdict {
-    if let Err(WorkflowError(why)) = workflows.evacuations().check(&it) {
+    if let Err(ValidationError(why)) = workflows.evacuations().check(&it) {
         tracing::info!(event = "evacuation_refused", zone = %it.zone, why = %why);
         return Verdict::Answer(WorkflowOutcome::Invalid(why));
     }
@@ -83,7 +83,7 @@
     if queue.needs_ticket {
         return Verdict::Answer(WorkflowOutcome::Unserved);
     }
-    if let Err(WorkflowError(why)) = check_spec(&it.spec) {
+    if let Err(ValidationError(why)) = check_spec(&it.spec) {
         return Verdict::Answer(WorkflowOutcome::Invalid(why));
     }
     Verdict::Propose(WorkflowCommand::Submit(SubmitWorkflow {
@@ -119,7 +119,7 @@
     if workflows.config().is_none() {
         return Err(WorkflowOutcome::NoConfig);
     }
-    let Some(queue) = workflows.queue_at(&it.host, &it.path) else {
+    let Some(queue) = workflows.queue_for_path(&it.host, &it.path) else {
         return Err(WorkflowOutcome::NotFound);
     };
     match &it.path[queue.path_prefix.len()..] {
--- a/src/control/dispatch/run_monitor.rs
+++ b/src/control/dispatch/run_monitor.rs
@@ -3,7 +3,7 @@
 use crate::{
     control::state::Workflows,
     policy::{
-        contention::{Harm, images::ImageKey},
+        contention::{ContentionModel, images::ImageKey},
         migration::Speed,
         worker_health::Progress,
     },
@@ -22,7 +22,7 @@
 }
 
 impl Work {
-    pub(super) fn of(step: &WorkflowStep, harm: &mut Harm) -> Work {
+    pub(super) fn of(step: &WorkflowStep, harm: &mut ContentionModel) -> Work {
         match step.filler {
             true => Work::Filler {
                 image: harm.image(&step.image),
@@ -53,14 +53,14 @@
     /// It stands still, or goes on elsewhere, and is told to stop.
     pub evicted: bool,
     /// Number of the newest report that lists it.
-    pub listed_in: u64,
+    pub last_report_number: u64,
 }
 
 impl Watch {
     /// Begins to watch a run with the first report that lists it.
     pub(super) fn new(
         workflows: &Workflows,
-        harm: &mut Harm,
+        harm: &mut ContentionModel,
         task: &RunningTask,
         now_ms: u64,
     ) -> Watch {
@@ -74,7 +74,7 @@
             progress: Progress::new(task.progress_percent, now_ms),
             speed: Speed::new(now_ms),
             evicted: false,
-            listed_in: 0,
+            last_report_number: 0,
         }
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Returns the share of its speed that a filler has, once that is known to be low.
-    pub(super) fn slow_share(&self, now_ms: u64) -> Option<f64> {
-        self.speed.slow_share(now_ms).filter(|_| self.can_move)
+    pub(super) fn speed_share_if_slow(&self, now_ms: u64) -> Option<f64> {
+        self.speed.speed_share_if_slow(now_ms).filter(|_| self.can_move)
     }
 }
--- a/src/control/dispatch/sessions.rs
+++ b/src/control/dispatch/sessions.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     control::{dispatch::run_monitor::Watch, state::Workflows},
-    policy::worker_health::Soundness,
+    policy::worker_health::WorkerHealth,
     prelude::*,
 };
 
@@ -24,7 +24,7 @@
     pub number: u64,
     pub sent_ms: u64,
     pub report: Option<WorkerReport>,
-    pub soundness: Soundness,
+    pub soundness: WorkerHealth,
     /// The runs that the newest report lists.
     pub watched: HashMap<RunRef, Watch>,
     /// The runs held there that a report has listed as running so far.
@@ -32,14 +32,14 @@
     /// Those that the newest report lists, and that are fillers and slow.
     pub slow: Vec<SlowRun>,
     /// Costs that the node was last told, and when.
-    pub told_costs: Vec<ImageCost>,
+    pub sent_costs: Vec<ImageCost>,
     pub told_ms: u64,
     /// How many grants were sent.
     pub grants: u64,
     /// Highest end proposed for the ledger.
     pub proposed_cursor: u64,
     /// A dismissal was proposed.
-    pub is_ending: bool,
+    pub is_being_dismissed: bool,
 }
 
 /// A filler that works slowly where it is.
@@ -86,15 +86,15 @@
             number: 0,
             sent_ms: 0,
             report: None,
-            soundness: Soundness::default(),
+            soundness: WorkerHealth::default(),
             watched: HashMap::new(),
             seen: HashSet::new(),
             slow: Vec::new(),
-            told_costs: Vec::new(),
+            sent_costs: Vec::new(),
             told_ms: 0,
             grants: 0,
             proposed_cursor: 0,
-            is_ending: false,
+            is_being_dismissed: false,
         };
         if let Entry::Vacant(entry) = self.sessions.entry(id) {
             entry.insert(session);
@@ -177,10 +177,10 @@
         self.note_walk();
         let mut res = Vec::new();
         self.expiry_bound_ms = u64::MAX;
-        for (id, it) in self.sessions.iter_mut().filter(|(_, it)| !it.is_ending) {
+        for (id, it) in self.sessions.iter_mut().filter(|(_, it)| !it.is_being_dismissed) {
             match it.held_until_ms <= now_ms {
                 true => {
-                    it.is_ending = true;
+                    it.is_being_dismissed = true;
                     res.push(*id);
                 }
                 false => self.expiry_bound_ms = self.expiry_bound_ms.min(it.held_until_ms),
@@ -191,7 +191,11 @@
 
     /// Returns the fillers that are slow on workers that can be told to stop them, the slowest
     /// first, which hold up their workflows longest.
-    pub(super) fn slow_runs(&self, workflows: &Workflows, is_usable: Usable) -> Vec<SlowRun> {
+    pub(super) fn slow_runs(
+        &self,
+        workflows: &Workflows,
+        is_usable: UsabilityCriteria,
+    ) -> Vec<SlowRun> {
         let with_slow = self.with_slow.iter().filter_map(|id| Some((id, self.get(*id)?)));
         let usable = with_slow.filter(|(_, it)| it.is_usable(is_usable));
         let placed = |it: &SlowRun| {
@@ -204,7 +208,7 @@
     }
 
     /// Returns whether new runs may be placed on a worker.
-    pub(super) fn is_usable(&self, id: WorkerId, usable: Usable) -> bool {
+    pub(super) fn is_usable(&self, id: WorkerId, usable: UsabilityCriteria) -> bool {
         self.get(id).is_some_and(|it| it.is_usable(usable))
     }
 }
@@ -251,7 +255,7 @@
 
 /// What makes a worker fit for new runs.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Usable {
+pub(super) struct UsabilityCriteria {
     pub term: u64,
     /// Silence after which nothing new is placed on it.
     pub silent_ms: u64,
@@ -260,11 +264,11 @@
 
 impl Session {
     /// Returns whether it was heard of lately under this term and is not leaving.
-    fn is_usable(&self, it: Usable) -> bool {
+    fn is_usable(&self, it: UsabilityCriteria) -> bool {
         let reports = |report: &WorkerReport| report.term == it.term && !report.draining;
         self.report.as_ref().is_some_and(reports)
-            && !self.is_ending
-            && self.soundness.is_trusted(it.now.mono_ms)
+            && !self.is_being_dismissed
+            && self.soundness.is_healthy(it.now.mono_ms)
             && it.now.mono_ms < self.heard_ms + it.silent_ms
     }
 
--- a/src/control/leader_finder.rs
+++ b/src/control/leader_finder.rs
@@ -4,7 +4,7 @@
 
 /// Where control processes are, and which of them is thought to lead.
 #[derive(Clone, Debug)]
-pub struct Finder {
+pub struct LeaderFinder {
     /// From the settings; never forgotten, since all that was learned may be gone.
     seeds: Vec<SocketAddr>,
     controls: Vec<SocketAddr>,
@@ -12,10 +12,10 @@
     leader: Option<SocketAddr>,
 }
 
-impl Finder {
+impl LeaderFinder {
     /// Makes a finder that begins with any of `seeds`, chosen by `choice`.
-    pub fn new(seeds: Vec<SocketAddr>, choice: u64) -> Finder {
-        Finder {
+    pub fn new(seeds: Vec<SocketAddr>, choice: u64) -> LeaderFinder {
+        LeaderFinder {
             target: choice as usize % seeds.len().max(1),
             controls: seeds.clone(),
             seeds,
--- a/src/control/log/disk.rs
+++ b/src/control/log/disk.rs
@@ -14,7 +14,7 @@
 use ini::Ini;
 
 use crate::{
-    control::log::record::{self, DiskWrite, HardState, Record, Recovered, Snapshot, Tail},
+    control::log::record::{self, DiskWrite, HardState, Record, RecoveredState, Snapshot, Tail},
     prelude::*,
     util::{Place, checksum},
 };
@@ -192,13 +192,13 @@
         folder: &Path,
         identity: &Identity,
         free_min_bytes: u64,
-    ) -> Result<(Disk, Recovered)> {
+    ) -> Result<(Disk, RecoveredState)> {
         let lock = DiskLock::acquire(folder)?;
         let snapshot_index = newest(folder, "snapshot-")?;
         let log_index = newest(folder, "log-")?;
-        let mut recovered = Recovered {
+        let mut recovered = RecoveredState {
             initial_members: Membership { voters: identity.founders.clone(), learners: Vec::new() },
-            ..Recovered::default()
+            ..RecoveredState::default()
         };
         // A snapshot is durable before the log that begins at it is made, so the log decides.
         if let Some(index) = log_index.or(snapshot_index).filter(|it| 0 < *it) {
@@ -239,7 +239,7 @@
     ///
     /// Returns an error when a write or a sync fails. What is on the disk since the last sync is then
     /// unknown (a second sync may report success for pages that were dropped): nothing may be written
-    /// but by [`Disk::write_again`].
+    /// but by [`Disk::retry_write`].
     pub fn write(&mut self, writes: &[DiskWrite]) -> Result<()> {
         self.written = 0;
         let mut buffer = Vec::new();
@@ -284,7 +284,7 @@
     /// # Errors
     ///
     /// As [`Disk::write`].
-    pub fn write_again(&mut self, writes: &[DiskWrite]) -> Result<()> {
+    pub fn retry_write(&mut self, writes: &[DiskWrite]) -> Result<()> {
         self.written = 0;
         let reopen = || OpenOptions::new().append(true).open(&self.path);
         self.file = reopen().change_context_lazy(|| cannot("open", &self.path))?;
@@ -425,7 +425,7 @@
 }
 
 /// Reads the records of a log file; returns the size of its sound part and whether it existed.
-fn replay_log(path: &Path, recovered: &mut Recovered) -> Result<(u64, bool)> {
+fn replay_log(path: &Path, recovered: &mut RecoveredState) -> Result<(u64, bool)> {
     let data = match fs::read(path) {
         Ok(it) => it,
         Err(it) if it.kind() == io::ErrorKind::NotFound => return Ok((0, false)),
--- a/src/control/log/mod.rs
+++ b/src/control/log/mod.rs
@@ -12,5 +12,5 @@
 
 pub use self::disk::{Disk, DiskLock, Identity};
 pub use self::options::RaftOptions;
-pub use self::raft::{Applied, ProposeError, Raft, Role};
-pub use self::record::{DiskWrite, HardState, Recovered, Snapshot};
+pub use self::raft::{Committed, ProposeError, Raft, Role};
+pub use self::record::{DiskWrite, HardState, RecoveredState, Snapshot};
--- a/src/control/log/raft/election.rs
+++ b/src/control/log/raft/election.rs
@@ -12,10 +12,10 @@
 
 impl Raft {
     /// Hands leadership to the voter that is furthest ahead, for a planned stop.
-    pub fn hand_over(&mut self, now: Now) {
-        if self.is_leader() && self.handing_over_since_ms.is_none() {
-            self.handing_over_since_ms = Some(now.mono_ms);
-            self.try_hand_over(now);
+    pub fn transfer_leadership(&mut self, now: Now) {
+        if self.is_leader() && self.transfer_since_ms.is_none() {
+            self.transfer_since_ms = Some(now.mono_ms);
+            self.try_transfer_leadership(now);
         }
     }
 
@@ -27,8 +27,8 @@
 
     pub(super) fn must_step_down(&self, now: Now) -> bool {
         let timeout_ms = self.options.election_timeout_ms;
-        let silent_since_ms = self.quorum_acked_ms(now).max(self.led_since_ms);
-        let handed_over_at_ms = self.handing_over_since_ms.map(|it| it + timeout_ms * 2);
+        let silent_since_ms = self.quorum_acked_ms(now).max(self.leader_since_ms);
+        let handed_over_at_ms = self.transfer_since_ms.map(|it| it + timeout_ms * 2);
         silent_since_ms + timeout_ms < now.mono_ms
             || handed_over_at_ms.is_some_and(|it| it < now.mono_ms)
     }
@@ -52,8 +52,8 @@
         self.role = Role::Follower;
         self.leader = leader;
         self.progress.clear();
-        self.handing_over_since_ms = None;
-        self.handed_over = false;
+        self.transfer_since_ms = None;
+        self.transfer_sent = false;
         self.reset_election(now);
     }
 
@@ -84,9 +84,9 @@
     pub(super) fn lead(&mut self, now: Now) {
         self.role = Role::Leader;
         self.leader = Some(self.id);
-        self.led_since_ms = now.mono_ms;
-        self.handing_over_since_ms = None;
-        self.handed_over = false;
+        self.leader_since_ms = now.mono_ms;
+        self.transfer_since_ms = None;
+        self.transfer_sent = false;
         self.progress.clear();
         self.refresh_progress(now);
         // Nothing of earlier terms counts as committed until an entry of this term is.
@@ -95,24 +95,24 @@
         }
     }
 
-    pub(super) fn try_hand_over(&mut self, now: Now) {
+    pub(super) fn try_transfer_leadership(&mut self, now: Now) {
         let last_index = self.last_index();
         let voters: Vec<_> = self.members().voters.iter().map(|it| it.id).collect();
         let ready = voters.into_iter().find(|id| {
-            self.progress
-                .get(id)
-                .is_some_and(|it| it.match_index == last_index && self.heard_lately(it, now))
+            self.progress.get(id).is_some_and(|it| {
+                it.match_index == last_index && self.has_replied_recently(it, now)
+            })
         });
         if let Some(to) = ready {
             // Once this was sent another may lead at any moment, so the lease never comes back
             // in this term; a leader whose offer got lost steps down instead.
-            self.handed_over = true;
+            self.transfer_sent = true;
             self.send_now(to, RaftBody::TimeoutNow(TimeoutNow { term: self.hard.term }));
         }
     }
 
     pub(super) fn on_vote(&mut self, now: Now, from: MemberId, it: VoteRequest) {
-        let barred = now.mono_ms < self.vote_barred_until_ms && !it.transfer;
+        let barred = now.mono_ms < self.vote_blocked_until_ms && !it.transfer;
         let leads = self.is_leader() && !it.transfer;
         if barred || leads || it.term < self.hard.term {
             let reply = VoteReply { term: self.hard.term, granted: false, pre_vote: it.pre_vote };
@@ -160,11 +160,11 @@
         }
     }
 
-    pub(super) fn heed_leader(&mut self, now: Now, from: MemberId, term: u64) {
+    pub(super) fn accept_leader(&mut self, now: Now, from: MemberId, term: u64) {
         if self.hard.term < term || self.role != Role::Follower || self.leader != Some(from) {
             self.follow(now, term, Some(from));
         }
         self.reset_election(now);
-        self.vote_barred_until_ms = now.mono_ms + self.options.election_timeout_ms;
+        self.vote_blocked_until_ms = now.mono_ms + self.options.election_timeout_ms;
     }
 }
--- a/src/control/log/raft/membership.rs
+++ b/src/control/log/raft/membership.rs
@@ -55,7 +55,7 @@
                 // A voter that lacks committed entries would count towards a quorum that holds
                 // fewer copies than promised; a loss right after the repair could then lose one.
                 let caught_up = self.progress.get(&id).is_some_and(|it| {
-                    self.commit_index <= it.match_index && self.heard_lately(it, now)
+                    self.commit_index <= it.match_index && self.has_replied_recently(it, now)
                 });
                 if !caught_up {
                     return Err(ProposeError::MembershipUnsafe("the learner has not caught up"));
@@ -79,7 +79,7 @@
         }
         let live = members.voters.iter().filter(|it| {
             it.id == self.id
-                || self.progress.get(&it.id).is_some_and(|it| self.heard_lately(it, now))
+                || self.progress.get(&it.id).is_some_and(|it| self.has_replied_recently(it, now))
         });
         if live.count() < members.voters.len() / 2 + 1 {
             return Err(ProposeError::MembershipUnsafe(
@@ -103,7 +103,7 @@
         self.members().voters.iter().any(|it| it.id == id)
     }
 
-    pub(super) fn heard_lately(&self, it: &Progress, now: Now) -> bool {
+    pub(super) fn has_replied_recently(&self, it: &Progress, now: Now) -> bool {
         now.mono_ms < it.heard_ms + self.options.election_timeout_ms
     }
 
--- a/src/control/log/raft/mod.rs
+++ b/src/control/log/raft/mod.rs
@@ -20,7 +20,7 @@
     control::log::{
         options::RaftOptions,
         progress::Progress,
-        record::{DiskWrite, HardState, Recovered, Snapshot, weight_bytes},
+        record::{DiskWrite, HardState, RecoveredState, Snapshot, weight_bytes},
     },
     prelude::*,
 };
@@ -48,7 +48,7 @@
 
 /// What the state machine is to take in next.
 #[derive(Clone, Debug)]
-pub enum Applied {
+pub enum Committed {
     Entry(Arc<LogEntry>),
     /// Replaces the whole state.
     Snapshot(Arc<Snapshot>),
@@ -89,11 +89,11 @@
     election_at_ms: u64,
     heartbeat_at_ms: u64,
     /// Until then this member gives no vote, since a leader may rely on it.
-    vote_barred_until_ms: u64,
-    led_since_ms: u64,
+    vote_blocked_until_ms: u64,
+    leader_since_ms: u64,
     /// Set once the leader told another member to take over; it has no lease from then on.
-    handing_over_since_ms: Option<u64>,
-    handed_over: bool,
+    transfer_since_ms: Option<u64>,
+    transfer_sent: bool,
 
     in_force: Revision,
     caught_up: bool,
@@ -115,7 +115,7 @@
 
 impl Raft {
     /// Makes a member from what its disk kept.
-    pub fn new(id: MemberId, recovered: Recovered, options: RaftOptions, now: Now) -> Raft {
+    pub fn new(id: MemberId, recovered: RecoveredState, options: RaftOptions, now: Now) -> Raft {
         let (base_index, base_term, base_members) = match &recovered.snapshot {
             Some(it) => (it.index, it.term, it.members.clone()),
             None => (0, 0, recovered.initial_members),
@@ -151,10 +151,10 @@
             heartbeat_at_ms: 0,
             // What this member promised before its restart is not known: it may have heard the
             // leader an instant ago, so it must not help to depose it within the lease.
-            vote_barred_until_ms: now.mono_ms + options.election_timeout_ms,
-            led_since_ms: 0,
-            handing_over_since_ms: None,
-            handed_over: false,
+            vote_blocked_until_ms: now.mono_ms + options.election_timeout_ms,
+            leader_since_ms: 0,
+            transfer_since_ms: None,
+            transfer_sent: false,
             in_force: Revision(0),
             caught_up: false,
             first_sent_ms: None,
@@ -228,7 +228,7 @@
     /// Returns whether this leader may answer reads and renew leases at `now`: no other leader
     /// can have been elected, and everything committed before its term is applied.
     pub fn has_lease(&self, now: Now) -> bool {
-        if !self.is_leader() || self.handed_over || self.handing_over_since_ms.is_some() {
+        if !self.is_leader() || self.transfer_sent || self.transfer_since_ms.is_some() {
             return false;
         }
         // A tenth is left for clocks that run at different speeds.
@@ -288,7 +288,7 @@
         if !self.is_leader() {
             return Err(ProposeError::NotLeader);
         }
-        if self.handing_over_since_ms.is_some() {
+        if self.transfer_since_ms.is_some() {
             return Err(ProposeError::HandingOver);
         }
         let index = self.last_index() + 1;
@@ -334,7 +334,7 @@
     }
 
     /// Returns whether the entries kept take so much memory that a snapshot is due.
-    pub fn is_heavy(&self) -> bool {
+    pub fn needs_snapshot(&self) -> bool {
         self.options.snapshot_bytes <= self.entries_bytes
             && self.snapshot_index() < self.applied_index
     }
@@ -380,17 +380,17 @@
     }
 
     /// Takes what the state machine is to apply next, in order.
-    pub fn take_applied(&mut self) -> Vec<Applied> {
+    pub fn take_committed(&mut self) -> Vec<Committed> {
         let mut res = Vec::new();
         if let Some(it) = self.install.pop_back() {
             self.install.clear();
             self.applied_index = it.index;
-            res.push(Applied::Snapshot(it));
+            res.push(Committed::Snapshot(it));
         }
         while self.applied_index < self.commit_index {
             let Some(it) = self.entry_at(self.applied_index + 1).cloned() else { break };
             self.applied_index = it.index;
-            res.push(Applied::Entry(it));
+            res.push(Committed::Entry(it));
         }
         let reached = self.catch_up_index.is_some_and(|it| it <= self.applied_index);
         let leads = self.is_leader() && self.term_at(self.applied_index) == Some(self.hard.term);
--- a/src/control/log/raft/replication.rs
+++ b/src/control/log/raft/replication.rs
@@ -50,8 +50,8 @@
             self.send_append(now, id);
         }
         self.advance_commit();
-        if self.handing_over_since_ms.is_some() {
-            self.try_hand_over(now);
+        if self.transfer_since_ms.is_some() {
+            self.try_transfer_leadership(now);
         }
     }
 
@@ -126,7 +126,7 @@
             let reply = self.append_reply(false, 0, it.sent_ms);
             return self.send_durable(from, reply);
         }
-        self.heed_leader(now, from, it.term);
+        self.accept_leader(now, from, it.term);
         let last_index = self.last_index();
         match self.term_at(it.previous_index) {
             _ if it.previous_index < self.base_index.min(self.commit_index) => {
@@ -210,8 +210,8 @@
         if self.progress.get(&from).is_some_and(|it| it.next_index <= self.flushed_index) {
             self.send_entries(now, from);
         }
-        if self.handing_over_since_ms.is_some() && !self.handed_over {
-            self.try_hand_over(now);
+        if self.transfer_since_ms.is_some() && !self.transfer_sent {
+            self.try_transfer_leadership(now);
         }
     }
 }
--- a/src/control/log/raft/snapshots.rs
+++ b/src/control/log/raft/snapshots.rs
@@ -70,7 +70,7 @@
         if it.term < self.hard.term {
             return self.send_durable(from, self.append_reply(false, 0, it.sent_ms));
         }
-        self.heed_leader(now, from, it.term);
+        self.accept_leader(now, from, it.term);
         if it.index <= self.commit_index {
             let reply =
                 self.append_reply(true, self.commit_index.min(self.durable_index), it.sent_ms);
--- a/src/control/log/record.rs
+++ b/src/control/log/record.rs
@@ -41,7 +41,7 @@
 
 /// What a member's disk kept.
 #[derive(Clone, Debug, Default)]
-pub struct Recovered {
+pub struct RecoveredState {
     pub hard: HardState,
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<LogEntry>,
@@ -49,7 +49,7 @@
     pub initial_members: Membership,
 }
 
-impl Recovered {
+impl RecoveredState {
     /// Takes in a write that was found durable.
     ///
     /// # Errors
--- a/src/control/scheduler/costs.rs
+++ b/src/control/scheduler/costs.rs
@@ -5,7 +5,7 @@
 use crate::{
     control::{
         scheduler::Scheduler,
-        state::{NOTHING, State, Task, Vm},
+        state::{NO_RESOURCES, State, Task, Vm},
     },
     policy::{
         placement::{Cost, Room},
@@ -65,7 +65,7 @@
             class,
             is_batch,
             may_wait: tier == Tier::Batch,
-            need: job.map_or(NOTHING, |it| it.spec.resources),
+            need: job.map_or(NO_RESOURCES, |it| it.spec.resources),
             places,
         }
     }
@@ -116,7 +116,7 @@
             false => return 0.0,
             true => (),
         }
-        let kinds = self.scheduler.residents.kinds_on(id, vm.capacity);
+        let kinds = self.scheduler.placed_tasks.kinds_on(id, vm.capacity);
         let cost = match self.is_batch {
             true => self.harm_done(vm, &kinds, is_closed),
             false => self.scheduler.pairs.slowdown(self.class, &kinds) - 1.0,
--- a/src/control/scheduler/mitigation.rs
+++ b/src/control/scheduler/mitigation.rs
@@ -51,9 +51,9 @@
             }
         }
         match worst {
-            Some((tail_ms, target_ms, class)) if self.options.feeds_back => {
-                let released_ms = self.tail_if_released(vm, &class, tail_ms);
-                let report = Report { tail_ms, released_ms, target_ms, lag_ms: age_ms };
+            Some((tail_ms, target_ms, class)) if self.options.uses_feedback => {
+                let unthrottled_tail_ms = self.tail_if_released(vm, &class, tail_ms);
+                let report = Report { tail_ms, unthrottled_tail_ms, target_ms, lag_ms: age_ms };
                 self.feed_back(state, vm, &class, report, now)
             }
             _ => Vec::new(),
@@ -64,7 +64,7 @@
     fn tail_if_released(&self, vm: &Vm, class: &str, tail_ms: u64) -> u64 {
         let throttled = self.loops.get(&vm.id).and_then(|it| it.throttled());
         let held_back = throttled.and_then(|id| {
-            let resident = self.residents.get(id)?;
+            let resident = self.placed_tasks.get(id)?;
             let kept = f64::from(self.throttles.get(&id).copied().unwrap_or(FREE_PERMILLE));
             let share =
                 share_of(resident.need, vm.capacity) * (1.0 - kept / f64::from(FREE_PERMILLE));
@@ -84,7 +84,7 @@
     ) -> Vec<TaskEventCommand> {
         let harm_of = |id: &TaskId| {
             let task = state.jobs.task(*id).filter(|it| it.state == TaskState::Running)?;
-            let resident = self.residents.get(task.id)?;
+            let resident = self.placed_tasks.get(task.id)?;
             let kind = resident.kind.as_ref()?;
             let share = share_of(resident.need, vm.capacity);
             // Before anything is learned the largest neighbour is the likeliest.
@@ -103,7 +103,7 @@
                 if self.may_evict(state, &[task], now, Purpose::Relief) {
                     self.evict(state, task, &mut plan);
                 } else if let Some(it) = self.loops.get_mut(&vm.id) {
-                    it.keep_throttled(task);
+                    it.restore_throttled(task);
                 }
             }
         }
@@ -126,7 +126,7 @@
                 state.jobs.task(**id).is_some_and(|it| it.state == TaskState::Running)
             });
             let is_batch =
-                |id: &TaskId| self.residents.get(*id).is_some_and(|it| it.kind.is_some());
+                |id: &TaskId| self.placed_tasks.get(*id).is_some_and(|it| it.kind.is_some());
             moved.extend(
                 running.filter(|id| (services_too || is_batch(id)) && !self.evicting.contains(id)),
             );
@@ -138,6 +138,6 @@
 
     fn throttle(&mut self, task: TaskId, permille: u32) {
         self.throttles.insert(task, permille);
-        self.residents.throttle(task, permille);
+        self.placed_tasks.throttle(task, permille);
     }
 }
--- a/src/control/scheduler/mod.rs
+++ b/src/control/scheduler/mod.rs
@@ -15,16 +15,16 @@
 use crate::{
     control::scheduler::{
         costs::Costs,
-        placed_tasks::{Resident, Residents},
+        placed_tasks::{PlacedTask, PlacedTasks},
         reserve::Reserve,
     },
     control::state::{Change, State, Task, Vm, subtract},
     policy::{
         feedback::{self},
         interference::{Pairs, Past},
-        placement::{Aim, Index, Room},
+        placement::{Index, PlacementStrategy, Room},
         preemption::EvictionBudget,
-        run_times::RunTimes,
+        run_times::RunTimeEstimates,
         task_queue::{self, Candidate, Facts, Queue, Rule, Runs, Tier, Waiting},
     },
     prelude::*,
@@ -49,10 +49,10 @@
     pub task_failures_max: u32,
     pub vm_failures_max: u32,
     pub quarantine_ms: u64,
-    pub corrects_sizes: bool,
+    pub corrects_run_times: bool,
     pub learns_interference: bool,
     pub preempts: bool,
-    pub feeds_back: bool,
+    pub uses_feedback: bool,
     pub reserves: bool,
 }
 
@@ -63,10 +63,10 @@
             task_failures_max: 3,
             vm_failures_max: 3,
             quarantine_ms: 60_000,
-            corrects_sizes: true,
+            corrects_run_times: true,
             learns_interference: true,
             preempts: true,
-            feeds_back: true,
+            uses_feedback: true,
             reserves: true,
         }
     }
@@ -94,18 +94,18 @@
     options: SchedulerOptions,
     queue: Queue,
     index: Index,
-    times: RunTimes,
+    times: RunTimeEstimates,
     pairs: Pairs,
     past: Past,
     loops: HashMap<VmId, feedback::Loop>,
     /// Classes that answer quick requests on a VM, by its agent's last report.
     services: HashMap<VmId, Vec<CompactString>>,
-    residents: Residents,
+    placed_tasks: PlacedTasks,
     reserve: Reserve,
     /// Urgent tasks not counted as arrived yet.
     arrived: Vec<Resources>,
     holds: BTreeMap<TaskId, Hold>,
-    held_on: HashMap<VmId, Vec<TaskId>>,
+    reservations_by_vm: HashMap<VmId, Vec<TaskId>>,
     throttles: HashMap<TaskId, u32>,
     evicting: HashSet<TaskId>,
     evictions: HashMap<CompactString, EvictionBudget>,
@@ -125,16 +125,16 @@
             options,
             queue: Queue::default(),
             index: Index::default(),
-            times: RunTimes::default(),
+            times: RunTimeEstimates::default(),
             pairs: Pairs::default(),
             past: Past::default(),
             loops: HashMap::new(),
             services: HashMap::new(),
-            residents: Residents::default(),
+            placed_tasks: PlacedTasks::default(),
             reserve: Reserve::default(),
             arrived: Vec::new(),
             holds: BTreeMap::new(),
-            held_on: HashMap::new(),
+            reservations_by_vm: HashMap::new(),
             throttles: HashMap::new(),
             evicting: HashSet::new(),
             evictions: HashMap::new(),
@@ -163,7 +163,7 @@
     }
 
     /// Returns what a neighbour's processors are to be held to, in permille.
-    pub fn throttle_of(&self, task: TaskId) -> Option<u32> {
+    pub fn throttle_permille(&self, task: TaskId) -> Option<u32> {
         self.throttles.get(&task).copied()
     }
 
@@ -199,7 +199,7 @@
         self.dirty = false;
         self.planned_ms = now.mono_ms;
         self.queue.advance(now.wall_ms);
-        self.release_old_holds(state, now);
+        self.release_expired_reservations(state, now);
         self.keep_reserve(state, now);
         self.judge_vms(state, now, &mut plan);
         self.empty_draining(state, now, &mut plan);
@@ -216,20 +216,20 @@
         };
         let Some(job) = state.jobs.job_of(task) else { return };
         let need = job.spec.resources;
-        match (task.placement, self.residents.contains(id)) {
+        match (task.placement, self.placed_tasks.contains(id)) {
             (Some(placement), false) => {
                 let is_batch =
                     state.class(&job.spec.class).is_some_and(|it| it.kind == ClassKind::Batch);
                 let kind = is_batch.then(|| job.spec.kind.clone());
                 let millicores = u64::from(need.cpu_millicores);
                 let resident =
-                    Resident { team: job.team.clone(), need, vm: placement.vm, kind, millicores };
-                self.queue.note_running(&job.team, need, Runs::Starts);
-                self.residents.add(id, resident);
+                    PlacedTask { team: job.team.clone(), need, vm: placement.vm, kind, millicores };
+                self.queue.record_run_change(&job.team, need, Runs::Starts);
+                self.placed_tasks.add(id, resident);
             }
             (None, true) => {
-                if let Some(it) = self.residents.remove(id) {
-                    self.queue.note_running(&it.team, it.need, Runs::Ends);
+                if let Some(it) = self.placed_tasks.remove(id) {
+                    self.queue.record_run_change(&it.team, it.need, Runs::Ends);
                 }
                 self.evicting.remove(&id);
                 if self.throttles.remove(&id).is_some() {
@@ -249,12 +249,12 @@
             self.queue.remove(id);
         }
         if !task.state.is_waiting()
-            && let Some(hold) = self.release_hold(id)
+            && let Some(hold) = self.release_reservation(id)
         {
-            self.refresh_room(state, hold.vm);
+            self.refresh_free_capacity(state, hold.vm);
         }
         if let Some(it) = task.placement {
-            self.refresh_room(state, it.vm);
+            self.refresh_free_capacity(state, it.vm);
         }
     }
 
@@ -263,8 +263,8 @@
         let class = job.and_then(|it| state.class(&it.spec.class));
         let declared_ms = job.map_or(1, |it| it.spec.declared_run_ms);
         let size_ms = match job {
-            Some(it) if self.options.corrects_sizes => {
-                self.times.expect_ms(&it.team, &it.spec.kind, declared_ms)
+            Some(it) if self.options.corrects_run_times => {
+                self.times.expected_run_ms(&it.team, &it.spec.kind, declared_ms)
             }
             _ => declared_ms,
         };
@@ -289,7 +289,7 @@
     }
 
     fn note_vm(&mut self, state: &State, id: VmId) {
-        self.refresh_room(state, id);
+        self.refresh_free_capacity(state, id);
         if state.vms.get(id).is_some_and(|it| it.quarantined) {
             self.quarantined.insert(id);
         } else {
@@ -310,7 +310,7 @@
                 self.loops.remove(&id);
                 self.services.remove(&id);
                 self.past.remove(id);
-                self.residents.forget(id);
+                self.placed_tasks.forget(id);
             }
         }
     }
@@ -327,20 +327,24 @@
 
     /// Notes what runs beside each other now, on the VMs where that has changed.
     fn note_scenes(&mut self, state: &State, now: Now) {
-        for id in self.residents.take_changed() {
+        for id in self.placed_tasks.take_changed() {
             if let Some(vm) = state.vms.get(id).filter(|_| self.options.learns_interference) {
-                self.past.note(id, now.mono_ms, self.residents.kinds_on(id, vm.capacity));
+                self.past.note(id, now.mono_ms, self.placed_tasks.kinds_on(id, vm.capacity));
             }
         }
     }
 
     /// Brings the index in line with a VM's state and what is held there.
-    fn refresh_room(&mut self, state: &State, id: VmId) {
+    fn refresh_free_capacity(&mut self, state: &State, id: VmId) {
         // A VM in quarantine is offered to probes only.
         let open = state.vms.get(id).filter(|vm| is_open(state, vm));
         let room = open.map(|vm| {
-            let held =
-                self.held_on.get(&id).into_iter().flatten().filter_map(|it| self.holds.get(it));
+            let held = self
+                .reservations_by_vm
+                .get(&id)
+                .into_iter()
+                .flatten()
+                .filter_map(|it| self.holds.get(it));
             let free = held.fold(vm.free(), |free, it| subtract(free, it.need));
             Room { free, zone: vm.zone.clone(), rack: vm.rack.clone() }
         });
@@ -348,24 +352,24 @@
     }
 
     fn hold(&mut self, state: &State, task: TaskId, it: Hold) {
-        self.release_hold(task);
+        self.release_reservation(task);
         self.holds.insert(task, it);
-        self.held_on.entry(it.vm).or_default().push(task);
-        self.refresh_room(state, it.vm);
+        self.reservations_by_vm.entry(it.vm).or_default().push(task);
+        self.refresh_free_capacity(state, it.vm);
     }
 
-    fn release_hold(&mut self, task: TaskId) -> Option<Hold> {
+    fn release_reservation(&mut self, task: TaskId) -> Option<Hold> {
         let hold = self.holds.remove(&task)?;
-        if let Some(list) = self.held_on.get_mut(&hold.vm) {
+        if let Some(list) = self.reservations_by_vm.get_mut(&hold.vm) {
             list.retain(|it| *it != task);
             if list.is_empty() {
-                self.held_on.remove(&hold.vm);
+                self.reservations_by_vm.remove(&hold.vm);
             }
         }
         Some(hold)
     }
 
-    fn release_old_holds(&mut self, state: &State, now: Now) {
+    fn release_expired_reservations(&mut self, state: &State, now: Now) {
         let old: Vec<_> = self
             .holds
             .iter()
@@ -373,8 +377,8 @@
             .map(|(task, _)| *task)
             .collect();
         for task in old {
-            if let Some(it) = self.release_hold(task) {
-                self.refresh_room(state, it.vm);
+            if let Some(it) = self.release_reservation(task) {
+                self.refresh_free_capacity(state, it.vm);
             }
         }
     }
@@ -399,12 +403,14 @@
     /// Starts one waiting task on a VM in quarantine.
     fn probe(&mut self, state: &State, vm: &Vm, now: Now, plan: &mut Plan) {
         let Some(session) = vm.session.as_ref().map(|it| it.id) else { return };
-        if self.held_on.contains_key(&vm.id) {
+        if self.reservations_by_vm.contains_key(&vm.id) {
             return;
         }
         let candidates = self.queue.candidates(TRIED_PER_PLAN);
         let probe = candidates.iter().find(|it| {
-            it.tier >= Tier::Due && !self.holds.contains_key(&it.task) && vm.has_room_for(it.need)
+            it.tier >= Tier::Due
+                && !self.holds.contains_key(&it.task)
+                && vm.has_capacity_for(it.need)
         });
         let Some((it, task)) = probe.and_then(|it| Some((it, state.jobs.task(it.task)?))) else {
             return;
@@ -440,7 +446,7 @@
             return;
         }
         // Room that was freed for this task is its own; to everyone else it looks taken.
-        let own = held.filter(|hold| self.room_with_hold(state, hold.vm, hold.need, it.task));
+        let own = held.filter(|hold| self.fits_reservation(state, hold.vm, hold.need, it.task));
         let chosen = own.map(|hold| hold.vm).or_else(|| match held {
             Some(_) => None,
             None => {
@@ -448,7 +454,9 @@
             }
         });
         let chosen = match chosen {
-            None if it.tier == Tier::Urgent && held.is_none() => self.reserved_room(state, it.need),
+            None if it.tier == Tier::Urgent && held.is_none() => {
+                self.find_reserved_vm(state, it.need)
+            }
             it => it,
         };
         let session = chosen.and_then(|vm| Some((vm, state.vms.get(vm)?.session.as_ref()?.id)));
@@ -478,12 +486,13 @@
         hold.until_ms <= now.mono_ms + HOLD_MS / 4
     }
 
-    fn room_with_hold(&self, state: &State, vm: VmId, need: Resources, task: TaskId) -> bool {
-        let others = self.held_on.get(&vm).into_iter().flatten().filter(|it| **it != task);
+    fn fits_reservation(&self, state: &State, vm: VmId, need: Resources, task: TaskId) -> bool {
+        let others =
+            self.reservations_by_vm.get(&vm).into_iter().flatten().filter(|it| **it != task);
         let others = others.filter_map(|it| self.holds.get(it));
         let Some(it) = state.vms.get(vm) else { return false };
         let free = others.fold(it.free(), |free, hold| subtract(free, hold.need));
-        it.has_room_for(need) && crate::control::state::fits(need, free)
+        it.has_capacity_for(need) && crate::control::state::fits(need, free)
     }
 
     /// Returns whether a task failed on so many VMs that it, and not they, must be at fault.
@@ -506,9 +515,9 @@
     vm.session.is_some() && !vm.draining && !vm.quarantined && !is_evacuated
 }
 
-fn aim_of(tier: Tier) -> Aim {
+fn aim_of(tier: Tier) -> PlacementStrategy {
     match tier {
-        Tier::Service => Aim::Spread,
-        Tier::Urgent | Tier::Due | Tier::Batch => Aim::Pack,
+        Tier::Service => PlacementStrategy::Spread,
+        Tier::Urgent | Tier::Due | Tier::Batch => PlacementStrategy::Pack,
     }
 }
--- a/src/control/scheduler/placed_tasks.rs
+++ b/src/control/scheduler/placed_tasks.rs
@@ -9,7 +9,7 @@
 
 /// What a task counted as running holds.
 #[derive(Clone, Debug)]
-pub(super) struct Resident {
+pub(super) struct PlacedTask {
     pub team: CompactString,
     pub need: Resources,
     pub vm: VmId,
@@ -27,19 +27,19 @@
 
 /// The tasks that run, by task and summed up by VM.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Residents {
-    tasks: HashMap<TaskId, Resident>,
+pub(super) struct PlacedTasks {
+    tasks: HashMap<TaskId, PlacedTask>,
     kinds: HashMap<VmId, HashMap<CompactString, KindSum>>,
     /// VMs whose mix has changed since it was last noted.
     changed: BTreeSet<VmId>,
 }
 
-impl Residents {
+impl PlacedTasks {
     pub(super) fn contains(&self, task: TaskId) -> bool {
         self.tasks.contains_key(&task)
     }
 
-    pub(super) fn add(&mut self, task: TaskId, it: Resident) {
+    pub(super) fn add(&mut self, task: TaskId, it: PlacedTask) {
         if let Some(kind) = &it.kind {
             let sum = self.kinds.entry(it.vm).or_default().entry(kind.clone()).or_default();
             sum.millicores += it.millicores;
@@ -49,7 +49,7 @@
         self.tasks.insert(task, it);
     }
 
-    pub(super) fn remove(&mut self, task: TaskId) -> Option<Resident> {
+    pub(super) fn remove(&mut self, task: TaskId) -> Option<PlacedTask> {
         let it = self.tasks.remove(&task)?;
         self.changed.insert(it.vm);
         if let (Some(kind), Some(kinds)) = (&it.kind, self.kinds.get_mut(&it.vm))
@@ -64,7 +64,7 @@
         Some(it)
     }
 
-    pub(super) fn get(&self, task: TaskId) -> Option<&Resident> {
+    pub(super) fn get(&self, task: TaskId) -> Option<&PlacedTask> {
         self.tasks.get(&task)
     }
 
--- a/src/control/scheduler/reserve.rs
+++ b/src/control/scheduler/reserve.rs
@@ -46,7 +46,7 @@
             memory_mib: a.memory_mib.max(b.memory_mib),
             accelerators: a.accelerators.max(b.accelerators),
         });
-        let Some(largest) = largest else { return (0, crate::control::state::NOTHING) };
+        let Some(largest) = largest else { return (0, crate::control::state::NO_RESOURCES) };
         let in_window = (self.arrivals.len() as u64 * START_MS).div_ceil(PAST_MS);
         ((in_window as usize).min(PLACES_MAX), largest)
     }
--- a/src/control/scheduler/urgent.rs
+++ b/src/control/scheduler/urgent.rs
@@ -28,15 +28,15 @@
                 held.is_some_and(|it| state.vms.get(it.vm).is_some_and(|vm| is_open(state, vm)));
             match held {
                 Some(it) if count <= at || it.need != need || !is_open => {
-                    self.release_hold(key);
-                    self.refresh_room(state, it.vm);
+                    self.release_reservation(key);
+                    self.refresh_free_capacity(state, it.vm);
                 }
                 Some(_) => continue,
                 None => (),
             }
             // What runs there now ends in time, and nothing new takes its room.
             if at < count
-                && let Some(vm) = self.index.roomiest()
+                && let Some(vm) = self.index.vm_with_most_free_cpu()
             {
                 self.hold(state, key, Hold { vm, need, until_ms: u64::MAX });
             }
@@ -46,10 +46,10 @@
     /// Returns the VM of a reserved place that has its room.
     ///
     /// The place stays reserved: what an urgent task leaves there when it ends is for the next one.
-    pub(super) fn reserved_room(&self, state: &State, need: Resources) -> Option<VmId> {
+    pub(super) fn find_reserved_vm(&self, state: &State, need: Resources) -> Option<VmId> {
         let has_room = |key: TaskId| {
             let hold = self.holds.get(&key)?;
-            self.room_with_hold(state, hold.vm, need, key).then_some(hold.vm)
+            self.fits_reservation(state, hold.vm, need, key).then_some(hold.vm)
         };
         Reserve::keys().find_map(has_room)
     }
@@ -65,8 +65,12 @@
             if !is_open(state, vm) {
                 continue;
             }
-            let held =
-                self.held_on.get(&vm.id).into_iter().flatten().filter_map(|it| self.holds.get(it));
+            let held = self
+                .reservations_by_vm
+                .get(&vm.id)
+                .into_iter()
+                .flatten()
+                .filter_map(|it| self.holds.get(it));
             let free = held.fold(vm.free(), |free, it| subtract(free, it.need));
             let victims = self.victims_on(state, vm, now);
             let Some((tasks, lost_ms)) = choose_victims(it.need, free, &victims) else { continue };
--- a/src/control/sessions.rs
+++ b/src/control/sessions.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns whether every session has reported to this leader.
-    pub(super) fn all_heard(&self) -> bool {
+    pub(super) fn all_reported(&self) -> bool {
         self.agents.values().all(|it| it.heard)
     }
 
--- a/src/control/state/claims.rs
+++ b/src/control/state/claims.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{control::state::Outcome, prelude::*};
+use crate::{control::state::ReplyResult, prelude::*};
 
 /// All claims kept.
 #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
@@ -27,7 +27,7 @@
     ///
     /// The caller of this sees from the attempt and the request in the answer whether it holds
     /// the claim.
-    pub(super) fn claim(&mut self, it: &ClaimCommand, time_ms: u64) -> Outcome {
+    pub(super) fn claim(&mut self, it: &ClaimCommand, time_ms: u64) -> ReplyResult {
         let key = (it.team.clone(), it.key.clone());
         let last_attempt = match self.claims.get(&key) {
             Some(claim) if claim.digest != it.digest => {
@@ -44,7 +44,11 @@
         };
         if it.attempt != last_attempt + 1 {
             // Of two that saw the same free claim one has won meanwhile, and lost it again.
-            return Err(refusal_until(ErrorKind::ClaimInProgress, "the claim moved on", 100));
+            return Err(refusal_with_retry_after(
+                ErrorKind::ClaimInProgress,
+                "the claim moved on",
+                100,
+            ));
         }
         let claim = Claim {
             digest: it.digest,
@@ -61,7 +65,7 @@
     }
 
     /// Records how a claimed attempt ended; the first word stands.
-    pub(super) fn settle(&mut self, it: &SettleCommand, time_ms: u64) -> Outcome {
+    pub(super) fn settle(&mut self, it: &SettleCommand, time_ms: u64) -> ReplyResult {
         let Some(claim) = self.claims.get_mut(&(it.team.clone(), it.key.clone())) else {
             return Err(refusal(
                 ErrorKind::NotFound,
--- a/src/control/state/configuration.rs
+++ b/src/control/state/configuration.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use crate::{
-    control::state::{Change, Outcome, State},
+    control::state::{Change, ReplyResult, State},
     prelude::*,
 };
 
@@ -15,7 +15,7 @@
 
 /// One accepted change.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct HistoryRow {
+pub struct ConfigHistoryEntry {
     pub revision: Revision,
     pub based_on: Revision,
     pub operator: CompactString,
@@ -27,16 +27,16 @@
 /// The newest accepted changes, oldest first.
 #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
 pub struct ConfigHistory {
-    rows: VecDeque<HistoryRow>,
+    rows: VecDeque<ConfigHistoryEntry>,
 }
 
 impl ConfigHistory {
     /// Returns the changes, oldest first.
-    pub fn iter(&self) -> impl DoubleEndedIterator<Item = &HistoryRow> {
+    pub fn iter(&self) -> impl DoubleEndedIterator<Item = &ConfigHistoryEntry> {
         self.rows.iter()
     }
 
-    fn push(&mut self, row: HistoryRow) {
+    fn push(&mut self, row: ConfigHistoryEntry) {
         self.rows.push_back(row);
         if HISTORY_MAX < self.rows.len() {
             self.rows.pop_front();
@@ -49,7 +49,7 @@
         &mut self,
         it: &ConfigureCommand,
         changes: &mut Vec<Change>,
-    ) -> Outcome {
+    ) -> ReplyResult {
         // A resend is recognised before the revision is compared: its own first success moved it.
         let earlier =
             self.history.iter().find(|row| row.operator == it.operator && row.key == it.key);
@@ -75,7 +75,7 @@
         }
         let revision = Revision(self.index);
         self.configuration.revision = revision;
-        self.history.push(HistoryRow {
+        self.history.push(ConfigHistoryEntry {
             revision,
             based_on: it.based_on,
             operator: it.operator.clone(),
--- a/src/control/state/jobs.rs
+++ b/src/control/state/jobs.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     control::state::{
-        Change, Outcome, State,
+        Change, ReplyResult, State,
         task::{Placement, Step, Task, transition},
         vms::{self, fits},
     },
@@ -85,7 +85,7 @@
 
     /// Returns what a task needs.
     pub fn need_of(&self, task: &Task) -> Resources {
-        self.job_of(task).map_or(vms::NOTHING, |it| it.spec.resources)
+        self.job_of(task).map_or(vms::NO_RESOURCES, |it| it.spec.resources)
     }
 
     /// Returns the jobs of a team that are not finished.
@@ -163,7 +163,7 @@
 }
 
 impl State {
-    pub(super) fn submit(&mut self, it: &SubmitCommand, changes: &mut Vec<Change>) -> Outcome {
+    pub(super) fn submit(&mut self, it: &SubmitCommand, changes: &mut Vec<Change>) -> ReplyResult {
         if let Some(&job) = self.jobs.by_key.get(&(it.team.clone(), it.key.clone())) {
             return match self.jobs.job(job).is_some_and(|job| job.spec == it.spec) {
                 true => Ok(Reply::JobAccepted(JobAccepted { job, resent: true })),
@@ -202,7 +202,7 @@
                 format_compact!("tasks is {}, out of range 1 to {TASKS_PER_JOB_MAX}", spec.tasks);
             return Err(refusal(ErrorKind::BadRequest, detail));
         }
-        if spec.resources == vms::NOTHING {
+        if spec.resources == vms::NO_RESOURCES {
             return Err(refusal(ErrorKind::BadRequest, "a task needs some resources"));
         }
         if !fits(spec.resources, team.quota) {
@@ -221,12 +221,12 @@
                 team.name,
                 team.jobs_open_max
             );
-            return Err(refusal_until(ErrorKind::QuotaExceeded, detail, 1_000));
+            return Err(refusal_with_retry_after(ErrorKind::QuotaExceeded, detail, 1_000));
         }
         Ok(())
     }
 
-    pub(super) fn cancel(&mut self, it: &CancelCommand, changes: &mut Vec<Change>) -> Outcome {
+    pub(super) fn cancel(&mut self, it: &CancelCommand, changes: &mut Vec<Change>) -> ReplyResult {
         let mut completed = 0;
         for id in &it.jobs {
             let Some(job) = self.jobs.job(*id).filter(|job| job.team == it.team) else {
@@ -249,7 +249,7 @@
         Ok(Reply::Done)
     }
 
-    pub(super) fn start(&mut self, it: &StartCommand, changes: &mut Vec<Change>) -> Outcome {
+    pub(super) fn start(&mut self, it: &StartCommand, changes: &mut Vec<Change>) -> ReplyResult {
         let refused = |detail: &str| Err(refusal(ErrorKind::StaleSession, detail));
         let Some(task) = self.jobs.task(it.task) else { return refused("no such task") };
         if task.incarnation + 1 != it.incarnation || !task.state.is_waiting() {
@@ -260,7 +260,7 @@
         if vm.session.as_ref().is_none_or(|session| session.id != it.session) {
             return refused("the VM's session ended");
         }
-        if !vm.has_room_for(need) || self.workflows.evacuations().contains(&vm.zone) {
+        if !vm.has_capacity_for(need) || self.workflows.evacuations().contains(&vm.zone) {
             return refused("the VM is full, draining, in quarantine or in a zone out of use");
         }
         self.vms.reserve(it.vm, it.task, need);
@@ -278,7 +278,7 @@
         &mut self,
         it: &TaskEventCommand,
         changes: &mut Vec<Change>,
-    ) -> Outcome {
+    ) -> ReplyResult {
         let current =
             self.jobs.tasks.get_mut(&it.task).filter(|task| task.incarnation == it.incarnation);
         let Some(task) = current else {
@@ -338,7 +338,7 @@
         changes.push(Change::Task(id));
         if before.holds_resources() && !next.holds_resources() {
             let placement = task.placement.take();
-            let need = self.jobs.jobs.get(&job).map_or(vms::NOTHING, |it| it.spec.resources);
+            let need = self.jobs.jobs.get(&job).map_or(vms::NO_RESOURCES, |it| it.spec.resources);
             if let Some(it) = placement {
                 self.vms.release(it.vm, id, need);
                 changes.push(Change::Vm(it.vm));
--- a/src/control/state/mod.rs
+++ b/src/control/state/mod.rs
@@ -19,14 +19,14 @@
 
 pub use self::{
     claims::Claims,
-    configuration::{ConfigHistory, HistoryRow},
+    configuration::{ConfigHistory, ConfigHistoryEntry},
     jobs::{Job, Jobs},
     task::{Placement, STEPS, Step, Task, transition},
-    vms::{NOTHING, Session, Vm, Vms, add, fits, subtract},
+    vms::{NO_RESOURCES, Session, Vm, Vms, add, fits, subtract},
     watches::{Watch, Watches},
     workflows::{
-        Occurrence, StepState, Suspects, TaskRun, Worker, Workers, Workflow, WorkflowError,
-        Workflows, check_queues, check_spec, reserve_of,
+        Occurrence, StepState, Suspects, TaskRun, ValidationError, Worker, Workers, Workflow,
+        Workflows, check_queues, check_spec, reservation_of,
     },
 };
 
@@ -44,7 +44,7 @@
 const MISSING_TAILS: [usize; 3] = [3, 6, 8];
 
 /// The outcome of one command.
-pub type Outcome = Result<Reply, Refusal>;
+pub type ReplyResult = Result<Reply, Refusal>;
 
 /// The replicated state of one control group.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
@@ -109,7 +109,7 @@
         time_ms: u64,
         command: &Command,
         changes: &mut Vec<Change>,
-    ) -> Outcome {
+    ) -> ReplyResult {
         self.touch(index, time_ms);
         match command {
             Command::Configure(it) => self.configure(it, changes),
@@ -203,14 +203,14 @@
             }
             let Some(placement) = task.placement else { continue };
             let need = self.jobs.need_of(task);
-            let sum = used.entry(placement.vm).or_insert(NOTHING);
+            let sum = used.entry(placement.vm).or_insert(NO_RESOURCES);
             *sum = add(*sum, need);
             if !self.vms.get(placement.vm).is_some_and(|it| it.tasks.contains(&task.id)) {
                 return Err(format!("task {} is not listed on its VM {}", task.id, placement.vm));
             }
         }
         for vm in self.vms.iter() {
-            let sum = used.get(&vm.id).copied().unwrap_or(NOTHING);
+            let sum = used.get(&vm.id).copied().unwrap_or(NO_RESOURCES);
             if sum != vm.used {
                 return Err(format!(
                     "VM {} holds {sum:?} but its ledger says {:?}",
@@ -224,7 +224,7 @@
         Ok(())
     }
 
-    fn expire(&mut self, it: &ExpireCommand) -> Outcome {
+    fn expire(&mut self, it: &ExpireCommand) -> ReplyResult {
         self.jobs.expire(it.jobs_before_ms);
         self.vms.expire(it.jobs_before_ms);
         self.claims.expire(it.claims_before_ms);
--- a/src/control/state/vms.rs
+++ b/src/control/state/vms.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{
-    control::state::{Change, Outcome, State, task::Step},
+    control::state::{Change, ReplyResult, State, task::Step},
     prelude::*,
 };
 
 /// No resources.
-pub const NOTHING: Resources = Resources { cpu_millicores: 0, memory_mib: 0, accelerators: 0 };
+pub const NO_RESOURCES: Resources = Resources { cpu_millicores: 0, memory_mib: 0, accelerators: 0 };
 
 /// The run of an agent that holds a VM.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
@@ -40,7 +40,7 @@
 
 impl Vm {
     /// Returns whether a task with this need may be started here.
-    pub fn has_room_for(&self, need: Resources) -> bool {
+    pub fn has_capacity_for(&self, need: Resources) -> bool {
         // A VM in quarantine takes one task as a probe.
         let closed = self.draining || (self.quarantined && !self.tasks.is_empty());
         !closed && self.session.is_some() && fits(add(self.used, need), self.capacity)
@@ -129,7 +129,7 @@
         &mut self,
         it: &OpenSessionCommand,
         changes: &mut Vec<Change>,
-    ) -> Outcome {
+    ) -> ReplyResult {
         let known = self.vms.by_name(&it.vm_name);
         if let Some(vm) = known
             && let Some(session) = vm.session.as_ref().filter(|session| session.boot == it.boot)
@@ -140,7 +140,7 @@
             && !fits(vm.used, it.capacity)
         {
             let detail = format_compact!("VM {} announces less than its tasks hold", it.vm_name);
-            return Err(refusal_until(ErrorKind::Infeasible, detail, 5_000));
+            return Err(refusal_with_retry_after(ErrorKind::Infeasible, detail, 5_000));
         }
         let id = known.map(|vm| vm.id).unwrap_or_else(|| {
             self.vms.next += 1;
@@ -153,7 +153,7 @@
             zone: it.zone.clone(),
             rack: it.rack.clone(),
             capacity: it.capacity,
-            used: NOTHING,
+            used: NO_RESOURCES,
             tasks: BTreeSet::new(),
             session: None,
             draining: false,
@@ -179,7 +179,7 @@
         &mut self,
         it: &CloseSessionCommand,
         changes: &mut Vec<Change>,
-    ) -> Outcome {
+    ) -> ReplyResult {
         let time_ms = self.time_ms;
         let Some(vm) =
             self.vms.by_session.remove(&it.session).and_then(|id| self.vms.vms.get_mut(&id))
@@ -201,7 +201,7 @@
         &mut self,
         it: &VmFlagsCommand,
         changes: &mut Vec<Change>,
-    ) -> Outcome {
+    ) -> ReplyResult {
         let time_ms = self.time_ms;
         let Some(vm) = self.vms.vms.get_mut(&it.vm) else {
             return Err(refusal(
--- a/src/control/state/watches.rs
+++ b/src/control/state/watches.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::{control::state::Outcome, prelude::*, util::Place};
+use crate::{control::state::ReplyResult, prelude::*, util::Place};
 
 /// A durable subscription.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
@@ -73,11 +73,11 @@
     }
 
     /// Returns the keys of published events that are kept.
-    pub fn published_len(&self) -> usize {
+    pub fn published_key_count(&self) -> usize {
         self.published.len()
     }
 
-    pub(super) fn create(&mut self, place: Place, it: &CreateWatchCommand) -> Outcome {
+    pub(super) fn create(&mut self, place: Place, it: &CreateWatchCommand) -> ReplyResult {
         let key = (it.team.clone(), it.key.clone());
         if let Some(&id) = self.by_key.get(&key) {
             return match self.watches.get(&id).is_some_and(|watch| watch.subject == it.subject) {
@@ -105,7 +105,7 @@
         Ok(Reply::WatchCreated(id))
     }
 
-    pub(super) fn delete(&mut self, it: &DeleteWatchCommand) -> Outcome {
+    pub(super) fn delete(&mut self, it: &DeleteWatchCommand) -> ReplyResult {
         // Deleting what is gone succeeds, so that a resend after a lost answer does too.
         if self.get(&it.team, it.watch).is_some()
             && let Some(watch) = self.watches.remove(&it.watch)
@@ -122,7 +122,7 @@
         Ok(Reply::Done)
     }
 
-    pub(super) fn publish(&mut self, it: &PublishCommand, time_ms: u64) -> Outcome {
+    pub(super) fn publish(&mut self, it: &PublishCommand, time_ms: u64) -> ReplyResult {
         let key = (it.team.clone(), it.key.clone());
         if self.published.insert(key, time_ms).is_none() {
             self.tell(&it.team, &it.subject, &it.body, time_ms);
--- a/src/control/state/workflows/failures.rs
+++ b/src/control/state/workflows/failures.rs
@@ -14,7 +14,7 @@
 /// The failures that are to be settled, and the starts of gangs that have failed.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub(super) struct Failures {
-    open: BTreeMap<WorkerId, Vec<OpenFailure>>,
+    open: BTreeMap<WorkerId, Vec<UnsettledFailure>>,
     /// Those of lifetimes that were given up, by their names: what they know shows once they are
     /// back, and until then their tasks wait.
     lost: BTreeMap<CompactString, LostFailures>,
@@ -25,7 +25,7 @@
 
 /// A failure that is to be settled.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-pub(super) struct OpenFailure {
+pub(super) struct UnsettledFailure {
     /// The worker that the run is held on.
     pub worker: WorkerId,
     pub end: RunEnd,
@@ -38,17 +38,21 @@
 struct LostFailures {
     node: SocketAddr,
     lost_ms: u64,
-    failures: Vec<OpenFailure>,
+    failures: Vec<UnsettledFailure>,
 }
 
 impl Failures {
     /// Notes a failure that was listed up to a cursor.
     pub(super) fn open(&mut self, worker: WorkerId, end: RunEnd, cursor: u64) {
-        self.open.entry(worker).or_default().push(OpenFailure { worker, end, cursor });
+        self.open.entry(worker).or_default().push(UnsettledFailure { worker, end, cursor });
     }
 
     /// Returns what a worker knows of its failures, if that settles any.
-    pub(super) fn settled_by(&self, worker: WorkerId, noted: NotedEnds) -> Option<SettleFailures> {
+    pub(super) fn failures_to_settle(
+        &self,
+        worker: WorkerId,
+        noted: NotedEnds,
+    ) -> Option<SettleFailures> {
         let open = self.open.get(&worker)?;
         let counted = runs_of(open.iter().filter(|it| noted.is_noted(it.cursor)));
         let lapsed = runs_of(open.iter().filter(|it| noted.has_lapsed(it.cursor)));
@@ -68,7 +72,7 @@
     }
 
     /// Takes out the failure of a run, unless it was settled before.
-    pub(super) fn take(&mut self, run: RunRef) -> Option<OpenFailure> {
+    pub(super) fn take(&mut self, run: RunRef) -> Option<UnsettledFailure> {
         let lost = self.lost.values_mut().map(|it| &mut it.failures);
         let mut all = self.open.values_mut().chain(lost);
         let res = all.find_map(|it| {
@@ -109,7 +113,7 @@
     }
 }
 
-fn runs_of<'a>(open: impl Iterator<Item = &'a OpenFailure>) -> Vec<RunRef> {
+fn runs_of<'a>(open: impl Iterator<Item = &'a UnsettledFailure>) -> Vec<RunRef> {
     open.map(|it| it.end.run).collect()
 }
 
--- a/src/control/state/workflows/mod.rs
+++ b/src/control/state/workflows/mod.rs
@@ -25,9 +25,9 @@
 };
 pub use self::{
     suspects::Suspects,
-    validation::{WorkflowError, check_queues, check_spec},
+    validation::{ValidationError, check_queues, check_spec},
     workers::{Worker, Workers},
-    workflow::{Occurrence, StepState, TaskRun, Workflow, reserve_of},
+    workflow::{Occurrence, StepState, TaskRun, Workflow, reservation_of},
 };
 
 /// Failed runs allowed where the queue of a workflow is no longer configured.
@@ -58,7 +58,7 @@
     }
 
     /// Returns the queue that serves a place: the longest prefix of the path on the host.
-    pub fn queue_at(&self, host: &str, path: &str) -> Option<&Queue> {
+    pub fn queue_for_path(&self, host: &str, path: &str) -> Option<&Queue> {
         let matching = |it: &&Queue| it.host == host && path.starts_with(it.path_prefix.as_str());
         let queues = &self.config.as_ref()?.queues;
         queues.iter().filter(matching).max_by_key(|it| it.path_prefix.len())
@@ -126,29 +126,32 @@
     }
 
     /// Returns what a worker knows of failures there that are not settled, if that settles any.
-    pub fn settled_by(&self, worker: WorkerId, noted: NotedEnds) -> Option<SettleFailures> {
-        self.failures.settled_by(worker, noted)
+    pub fn failures_to_settle(&self, worker: WorkerId, noted: NotedEnds) -> Option<SettleFailures> {
+        self.failures.failures_to_settle(worker, noted)
     }
 
     /// Returns the failures on a worker that are not settled.
-    pub fn failures_on(&self, worker: WorkerId) -> Vec<RunRef> {
+    pub fn unsettled_failures_on(&self, worker: WorkerId) -> Vec<RunRef> {
         self.failures.on(worker)
     }
 
     /// Returns the failures that are not settled and whose workers were given up before a time.
-    pub fn failures_lost_before(&self, time_ms: u64) -> Vec<RunRef> {
+    pub fn lost_failures_before(&self, time_ms: u64) -> Vec<RunRef> {
         self.failures.lost_before(time_ms)
     }
 
     /// Returns whether a run has nothing left to do: its task is done, or its workflow at its end.
-    pub fn is_superfluous(&self, run: RunRef) -> bool {
+    pub fn is_redundant(&self, run: RunRef) -> bool {
         let Some(workflow) = self.workflows.get(&run.task.workflow) else { return true };
         !workflow.is_active() || workflow.task(run.task).is_none_or(|it| it.is_done)
     }
 
     /// Returns the workers with runs that came to nothing by ends of others: other runs of a task
     /// that is done, and all of a workflow that is at its end.
-    pub fn superfluous_after(&self, ended: impl Iterator<Item = RunRef>) -> BTreeSet<WorkerId> {
+    pub fn workers_with_redundant_runs(
+        &self,
+        ended: impl Iterator<Item = RunRef>,
+    ) -> BTreeSet<WorkerId> {
         let mut res = BTreeSet::new();
         for at in ended.map(|it| it.task) {
             let Some(workflow) = self.workflows.get(&at.workflow) else { continue };
@@ -252,7 +255,7 @@
             let was_seen = it.outcome == RunOutcome::Crashed;
             Some(CrashedRun { task: it.run.task, age_ms, was_seen })
         };
-        let runs = crashed.filter(|it| !self.is_superfluous(it.run)).filter_map(row).collect();
+        let runs = crashed.filter(|it| !self.is_redundant(it.run)).filter_map(row).collect();
         Some(Crash { workers: self.workers.len(), time_ms, runs })
     }
 
--- a/src/control/state/workflows/suspects.rs
+++ b/src/control/state/workflows/suspects.rs
@@ -4,7 +4,8 @@
 
 use crate::{
     policy::crash_evidence::{
-        Background, RATE_WINDOW_MS, Suspicion, is_outlived, is_outlived_at_least,
+        Background, CRASH_RATE_WINDOW_MS, CrashEvidence, is_surely_too_old_to_suspect,
+        is_too_old_to_suspect,
     },
     prelude::*,
 };
@@ -14,7 +15,7 @@
 pub struct Suspects {
     /// One is here from the first crash of its worker until it is done, cleared, or its workflow at
     /// its end: what ran on the workers that crashed lately, at most.
-    tasks: BTreeMap<TaskRef, Suspicion>,
+    tasks: BTreeMap<TaskRef, CrashEvidence>,
     /// When each run that may be on a worker came into the ledger.
     begun_ms: BTreeMap<RunRef, u64>,
     /// Crashes of workers within the window of their rate that no task was given up for.
@@ -45,22 +46,22 @@
 
 impl Suspects {
     /// Returns what is held against a task, if anything.
-    pub fn get(&self, task: TaskRef) -> Option<Suspicion> {
+    pub fn get(&self, task: TaskRef) -> Option<CrashEvidence> {
         self.tasks.get(&task).copied()
     }
 
     /// Returns whether a task must begin where nothing else does.
-    pub fn needs_trial(&self, task: TaskRef) -> bool {
-        self.get(task).is_some_and(Suspicion::needs_trial)
+    pub fn needs_probation(&self, task: TaskRef) -> bool {
+        self.get(task).is_some_and(CrashEvidence::needs_probation)
     }
 
     /// Returns whether a task must begin only while no workers crash.
-    pub fn needs_calm(&self, task: TaskRef) -> bool {
-        self.get(task).is_some_and(Suspicion::needs_calm)
+    pub fn needs_quiet_period(&self, task: TaskRef) -> bool {
+        self.get(task).is_some_and(CrashEvidence::needs_quiet_period)
     }
 
     /// Returns the suspected tasks.
-    pub fn iter(&self) -> impl Iterator<Item = (TaskRef, Suspicion)> {
+    pub fn iter(&self) -> impl Iterator<Item = (TaskRef, CrashEvidence)> {
         self.tasks.iter().map(|(task, it)| (*task, *it))
     }
 
@@ -96,15 +97,15 @@
         let age_ms = self.age_ms(end.run, time_ms).unwrap_or(0);
         let is_cleared = match end.outcome {
             RunOutcome::Done => true,
-            RunOutcome::Lapsed => is_outlived_at_least(age_ms),
-            _ => suspicion.is_cleared_by(age_ms),
+            RunOutcome::Lapsed => is_surely_too_old_to_suspect(age_ms),
+            _ => suspicion.is_ruled_out_at_age(age_ms),
         };
         match end.outcome {
             _ if is_cleared => drop(self.tasks.remove(&task)),
             RunOutcome::Lapsed => {
-                let after = suspicion.after_silence();
+                let after = suspicion.after_silent_worker();
                 self.tasks.insert(task, after);
-                return after.is_at_limit();
+                return after.is_at_crash_limit();
             }
             _ => (),
         }
@@ -116,9 +117,9 @@
     /// The one with the highest odds explains the crash: that says no more of what ran beside it,
     /// but for the count of crashes that no task may pass.
     pub(super) fn note_crash(&mut self, crash: &Crash) -> Vec<TaskRef> {
-        self.crashes_ms.retain(|it| crash.time_ms < it + RATE_WINDOW_MS);
+        self.crashes_ms.retain(|it| crash.time_ms < it + CRASH_RATE_WINDOW_MS);
         let after = |it: &CrashedRun| Some((it.task, self.after_crash(*it, crash.workers, false)?));
-        let convicted = crash.runs.iter().filter_map(after).filter(|(_, it)| it.is_convicted());
+        let convicted = crash.runs.iter().filter_map(after).filter(|(_, it)| it.is_culprit());
         let culprit = convicted.max_by(|a, b| a.1.odds.total_cmp(&b.1.odds)).map(|it| it.0);
         for it in &crash.runs {
             match self.after_crash(*it, crash.workers, culprit.is_some()) {
@@ -130,22 +131,27 @@
             self.crashes_ms.push(crash.time_ms);
         }
         let is_given_up = |it: &TaskRef| {
-            culprit == Some(*it) || self.get(*it).is_some_and(Suspicion::is_at_limit)
+            culprit == Some(*it) || self.get(*it).is_some_and(CrashEvidence::is_at_crash_limit)
         };
         crash.runs.iter().map(|it| it.task).filter(is_given_up).collect()
     }
 
     /// Returns what is held against a task after a crash, which another one may explain; nothing if
     /// it is too old to have caused it.
-    fn after_crash(&self, it: CrashedRun, workers: usize, is_explained: bool) -> Option<Suspicion> {
+    fn after_crash(
+        &self,
+        it: CrashedRun,
+        workers: usize,
+        is_explained: bool,
+    ) -> Option<CrashEvidence> {
         let before = self.get(it.task).unwrap_or_default();
         let crashes = self.crashes_ms.len().saturating_sub(before.losses as usize);
         let background = Background { crashes, workers };
         match it.was_seen {
-            false if is_outlived_at_least(it.age_ms) => None,
-            false => Some(before.after_unseen()),
-            true if is_outlived(it.age_ms) => None,
-            true if is_explained => Some(before.after_explained(it.age_ms)),
+            false if is_surely_too_old_to_suspect(it.age_ms) => None,
+            false => Some(before.after_unobserved_crash()),
+            true if is_too_old_to_suspect(it.age_ms) => None,
+            true if is_explained => Some(before.after_explained_crash(it.age_ms)),
             true => Some(before.after_crash(it.age_ms, background)),
         }
     }
--- a/src/control/state/workflows/validation.rs
+++ b/src/control/state/workflows/validation.rs
@@ -13,15 +13,15 @@
 
 /// Why a workflow is refused.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WorkflowError(pub CompactString);
+pub struct ValidationError(pub CompactString);
 
 /// Checks a workflow.
 ///
 /// # Errors
 ///
 /// Returns what is wrong, with the bad value.
-pub fn check_spec(spec: &WorkflowSpec) -> Result<(), WorkflowError> {
-    let fail = |why: CompactString| Err(WorkflowError(why));
+pub fn check_spec(spec: &WorkflowSpec) -> Result<(), ValidationError> {
+    let fail = |why: CompactString| Err(ValidationError(why));
     if spec.steps.is_empty() || STEPS_MAX < spec.steps.len() {
         return fail(format_compact!("{} steps; 1 to {STEPS_MAX} are accepted", spec.steps.len()));
     }
@@ -52,8 +52,8 @@
 /// # Errors
 ///
 /// Returns what is wrong, with the queue and the bad value.
-pub fn check_queues(config: &QueueConfig) -> Result<(), WorkflowError> {
-    let fail = |why: CompactString| Err(WorkflowError(why));
+pub fn check_queues(config: &QueueConfig) -> Result<(), ValidationError> {
+    let fail = |why: CompactString| Err(ValidationError(why));
     let mut places = std::collections::BTreeSet::new();
     for it in &config.queues {
         if !config.services.contains(&it.service) {
--- a/src/control/state/workflows/workers.rs
+++ b/src/control/state/workflows/workers.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    control::state::{NOTHING, add, fits, reserve_of, subtract},
+    control::state::{NO_RESOURCES, add, fits, reservation_of, subtract},
     prelude::*,
 };
 
@@ -32,20 +32,20 @@
 
 impl Worker {
     /// Returns whether `need` fits beside what is placed here.
-    pub fn has_room_for(&self, need: Resources) -> bool {
+    pub fn has_capacity_for(&self, need: Resources) -> bool {
         fits(add(self.used, need), self.capacity)
     }
 
     pub(super) fn add(&mut self, run: RunRef, step: &WorkflowStep) {
         if self.runs.insert(run) {
-            self.used = add(self.used, reserve_of(step));
+            self.used = add(self.used, reservation_of(step));
             self.filler_millicores += filler_millicores(step);
         }
     }
 
     pub(super) fn remove(&mut self, run: RunRef, step: &WorkflowStep) {
         if self.runs.remove(&run) {
-            self.used = subtract(self.used, reserve_of(step));
+            self.used = subtract(self.used, reservation_of(step));
             self.filler_millicores -= filler_millicores(step);
         }
     }
@@ -130,7 +130,7 @@
             kind: it.kind.clone(),
             rack: it.rack.clone(),
             capacity: it.capacity,
-            used: NOTHING,
+            used: NO_RESOURCES,
             filler_millicores: 0,
             runs: BTreeSet::new(),
             cursor: 0,
--- a/src/control/state/workflows/workflow.rs
+++ b/src/control/state/workflows/workflow.rs
@@ -126,7 +126,7 @@
     }
 
     /// Returns whether a run of it may be on one of some workers.
-    pub fn has_run_on(&self, workers: &HashSet<WorkerId>) -> bool {
+    pub fn has_run_on_any(&self, workers: &HashSet<WorkerId>) -> bool {
         self.runs().any(|it| workers.contains(&it.worker))
     }
 
@@ -250,7 +250,7 @@
 }
 
 /// Returns what one task of a step takes from its worker.
-pub fn reserve_of(step: &WorkflowStep) -> Resources {
+pub fn reservation_of(step: &WorkflowStep) -> Resources {
     let cpu_millicores = if step.filler { 0 } else { step.need.cpu_millicores };
     Resources { cpu_millicores, ..step.need }
 }
--- a/src/control/state/workflows/zones.rs
+++ b/src/control/state/workflows/zones.rs
@@ -1,6 +1,6 @@
 //! Availability zones that operators have taken out of use.
 
-use crate::{control::state::WorkflowError, prelude::*};
+use crate::{control::state::ValidationError, prelude::*};
 
 /// Zones that may be out of use at once: many times what an installation has.
 const ZONES_MAX: usize = 256;
@@ -22,8 +22,8 @@
     /// # Errors
     ///
     /// Returns what is wrong with the name, or that too many zones are out of use.
-    pub fn check(&self, it: &EvacuateRequest) -> Result<(), WorkflowError> {
-        let problem = |why: CompactString| Err(WorkflowError(why));
+    pub fn check(&self, it: &EvacuateRequest) -> Result<(), ValidationError> {
+        let problem = |why: CompactString| Err(ValidationError(why));
         match it.zone.as_str() {
             "" => problem("the name of the zone is empty".into()),
             name if NAME_MAX_BYTES < name.len() => problem(format_compact!(
--- a/src/control/views.rs
+++ b/src/control/views.rs
@@ -7,7 +7,7 @@
 use crate::{
     control::{
         core::ControlCore,
-        state::{Job, Outcome, State, Vm},
+        state::{Job, ReplyResult, State, Vm},
     },
     prelude::*,
 };
@@ -18,12 +18,12 @@
 /// History rows shown at once.
 const HISTORY_SHOWN: usize = 200;
 
-pub(super) fn job(state: &State, it: &JobQuery) -> Outcome {
+pub(super) fn job(state: &State, it: &JobQuery) -> ReplyResult {
     let job = find_job(state, it)?;
     document(&job_value(state, job))
 }
 
-pub(super) fn job_result(state: &State, it: &JobQuery) -> Outcome {
+pub(super) fn job_result(state: &State, it: &JobQuery) -> ReplyResult {
     let job = find_job(state, it)?;
     let tasks: Vec<_> = job
         .task_ids()
@@ -33,7 +33,7 @@
     document(&json!({"job": job.id, "finished": job.finished_ms.is_some(), "tasks": tasks}))
 }
 
-pub(super) fn watch(state: &State, it: &WatchQuery, limit: usize) -> Outcome {
+pub(super) fn watch(state: &State, it: &WatchQuery, limit: usize) -> ReplyResult {
     let Some(watch) = state.watches.get(&it.team, it.watch) else {
         return Err(refusal(
             ErrorKind::NotFound,
@@ -45,7 +45,7 @@
     document(&json!({"watch": it.watch, "cursor": cursor, "events": events}))
 }
 
-pub(super) fn view(core: &ControlCore, view: AdminView, now: Now) -> Outcome {
+pub(super) fn view(core: &ControlCore, view: AdminView, now: Now) -> ReplyResult {
     let state = &core.state;
     let value = match view {
         AdminView::Status => status(core, now),
@@ -87,7 +87,7 @@
     json!({"revision": list.revision, "zones": zones})
 }
 
-fn document(value: &Value) -> Outcome {
+fn document(value: &Value) -> ReplyResult {
     Ok(Reply::Document(value.to_string().into()))
 }
 
--- a/src/entry/core/admission.rs
+++ b/src/entry/core/admission.rs
@@ -4,8 +4,8 @@
 
 use crate::{
     entry::{
-        core::{EntryCore, LOOKUPS_MAX, line_of},
-        pending_request::{Quick, QuickKey, Stage},
+        core::{EntryCore, LOOKUPS_MAX, class_queue},
+        pending_request::{PendingRequestKey, Quick, Stage},
         request::{CallerAnswer, QuickRequest},
     },
     policy::admission::{self, Rejection, Waiting},
@@ -15,9 +15,9 @@
 
 impl EntryCore {
     /// Checks whether this entry takes anything at all.
-    pub(super) fn check_room(&self, open: usize) -> Result<(), Refusal> {
+    pub(super) fn check_request_limit(&self, open: usize) -> Result<(), Refusal> {
         if self.draining {
-            return Err(refusal_until(
+            return Err(refusal_with_retry_after(
                 ErrorKind::Draining,
                 "this entry is stopping: ask another",
                 100,
@@ -25,10 +25,10 @@
         }
         if self.adopted.revision() == Revision(0) {
             let detail = "this entry has no configuration yet";
-            return Err(refusal_until(ErrorKind::NoEndpoint, detail, 1_000));
+            return Err(refusal_with_retry_after(ErrorKind::NoEndpoint, detail, 1_000));
         }
         if self.options.settings.in_flight_max as usize <= open {
-            return Err(refusal_until(
+            return Err(refusal_with_retry_after(
                 ErrorKind::QueueFull,
                 "this entry has its most requests open",
                 200,
@@ -62,7 +62,7 @@
             // Not even its key can be looked up, so an earlier sending may have run.
             let detail =
                 "too many requests are open to look up its key: send it again with the same key";
-            let refusal = refusal_until(ErrorKind::OutcomeUnknown, detail, 500);
+            let refusal = refusal_with_retry_after(ErrorKind::OutcomeUnknown, detail, 500);
             return self.answer(token, CallerAnswer::Refused(refusal));
         }
         let key = self.admit(now, token, team, quick);
@@ -83,7 +83,7 @@
         token: u64,
         team: CompactString,
         quick: QuickRequest,
-    ) -> QuickKey {
+    ) -> PendingRequestKey {
         self.next_request += 1;
         let request = RequestId { boot: self.options.boot, number: self.next_request };
         let deadline_ms = now.mono_ms + u64::from(quick.deadline_ms);
@@ -112,18 +112,18 @@
     }
 
     /// Checks whether a request admitted a moment ago can be served now.
-    pub(super) fn check_busy(&self, key: QuickKey) -> Result<(), Refusal> {
+    pub(super) fn check_busy(&self, key: PendingRequestKey) -> Result<(), Refusal> {
         let Some(quick) = self.quicks.get(key) else { return Ok(()) };
         let open = self.by_team.get(&quick.team).copied().unwrap_or(0);
         let most = self.adopted.team(&quick.team).map_or(0, |it| it.requests_in_flight_max);
         if most < open {
             let detail =
                 format_compact!("team {} has {most} requests open here, its most", quick.team);
-            return Err(refusal_until(ErrorKind::TeamShareExceeded, detail, 100));
+            return Err(refusal_with_retry_after(ErrorKind::TeamShareExceeded, detail, 100));
         }
         if !self.endpoints.has_open(&quick.quick.class) {
             let detail = format_compact!("class {} has no endpoint now", quick.quick.class);
-            return Err(refusal_until(ErrorKind::NoEndpoint, detail, 1_000));
+            return Err(refusal_with_retry_after(ErrorKind::NoEndpoint, detail, 1_000));
         }
         Ok(())
     }
@@ -159,7 +159,7 @@
     }
 
     /// Lets a request wait for a free endpoint, unless it is known that it would wait too long.
-    pub(super) fn enqueue(&mut self, now: Now, key: QuickKey) {
+    pub(super) fn enqueue(&mut self, now: Now, key: PendingRequestKey) {
         let Some(quick) = self.quicks.get(key) else { return };
         let class = quick.quick.class.clone();
         let team = quick.team.clone();
@@ -175,15 +175,16 @@
             return self.refuse(
                 now,
                 key,
-                refusal_until(ErrorKind::WouldMissDeadline, detail, wait_ms.max(50)),
+                refusal_with_retry_after(ErrorKind::WouldMissDeadline, detail, wait_ms.max(50)),
             );
         }
-        let line = line_of(&mut self.lines, &class);
+        let line = class_queue(&mut self.lines, &class);
         match line.queue.push(&team, waiting, len_max) {
             Ok(None) => (),
             Ok(Some(displaced)) => {
                 let detail = "the queue is full, and this team fills more than its share";
-                let refusal = refusal_until(ErrorKind::TeamShareExceeded, detail, wait_ms.max(50));
+                let refusal =
+                    refusal_with_retry_after(ErrorKind::TeamShareExceeded, detail, wait_ms.max(50));
                 self.refuse(now, displaced.key, refusal);
             }
             Err(rejection) => {
@@ -193,14 +194,18 @@
                 };
                 let detail =
                     format_compact!("{queued} requests of class {class} wait here already");
-                return self.refuse(now, key, refusal_until(kind, detail, wait_ms.max(50)));
+                return self.refuse(
+                    now,
+                    key,
+                    refusal_with_retry_after(kind, detail, wait_ms.max(50)),
+                );
             }
         }
         self.schedule_drop(now, key);
     }
 
     /// Looks at a waiting request again when it can no longer be answered in time.
-    pub(super) fn schedule_drop(&mut self, now: Now, key: QuickKey) {
+    pub(super) fn schedule_drop(&mut self, now: Now, key: PendingRequestKey) {
         let Some(quick) = self.quicks.get(key) else { return };
         let answer_ms = self.endpoints.answer_ms_of(&quick.quick.class) as u64;
         let at_ms = quick.deadline_ms.saturating_sub(answer_ms).max(now.mono_ms + 1);
@@ -232,9 +237,9 @@
     }
 
     /// Puts back what was taken from its queue a moment ago.
-    pub(super) fn enqueue_again(&mut self, it: Waiting<QuickKey>) {
+    pub(super) fn enqueue_again(&mut self, it: Waiting<PendingRequestKey>) {
         let Some(quick) = self.quicks.get(it.key) else { return };
         let team = quick.team.clone();
-        line_of(&mut self.lines, &quick.quick.class).queue.unpop(&team, it);
+        class_queue(&mut self.lines, &quick.quick.class).queue.unpop(&team, it);
     }
 }
--- a/src/entry/core/attempts.rs
+++ b/src/entry/core/attempts.rs
@@ -4,12 +4,12 @@
 
 use crate::{
     entry::{
-        core::{ASK_MS, ATTEMPT_MIN_MS, ControlToken, EntryCore, FOLLOW_UNKNOWN_MS, line_of},
+        core::{ASK_MS, ATTEMPT_MIN_MS, ControlToken, EntryCore, FOLLOW_UNKNOWN_MS, class_queue},
         endpoints::EndpointKey,
-        pending_request::{Attempt, QuickKey, Stage},
+        pending_request::{Attempt, PendingRequestKey, Stage},
         request::CallerAnswer,
     },
-    error::{Ran, answer_of},
+    error::{ExecutionStatus, answer_of},
     metrics::Dropped,
     policy::retry::{RetryReason, reason_of_refusal},
     prelude::*,
@@ -19,7 +19,7 @@
 impl EntryCore {
     /// Sends a request to an endpoint, or claims its key first; returns false where no endpoint
     /// takes it now.
-    pub(super) fn try_begin(&mut self, now: Now, key: QuickKey) -> bool {
+    pub(super) fn try_begin(&mut self, now: Now, key: PendingRequestKey) -> bool {
         let Some(quick) = self.quicks.get_mut(key) else { return true };
         let class = quick.quick.class.clone();
         let chosen = self.endpoints.choose(&class, &quick.tried, now, &mut self.random);
@@ -41,7 +41,7 @@
     }
 
     /// Sends one attempt to an endpoint already counted.
-    pub(super) fn send_attempt(&mut self, now: Now, key: QuickKey, endpoint: EndpointKey) {
+    pub(super) fn send_attempt(&mut self, now: Now, key: PendingRequestKey, endpoint: EndpointKey) {
         let (Some(quick), Some(target)) = (self.quicks.get_mut(key), self.endpoints.get(endpoint))
         else {
             return;
@@ -60,8 +60,8 @@
         // An attempt that takes several times the usual is worth a second one, while there is
         // time left for it to be answered.
         let wait_ms = (usual_ms * 6).max(ATTEMPT_MIN_MS).min((left_ms / 2).max(ATTEMPT_MIN_MS));
-        let act_at_ms = now.mono_ms + wait_ms;
-        quick.stage = Stage::InFlight { act_at_ms };
+        let next_action_ms = now.mono_ms + wait_ms;
+        quick.stage = Stage::InFlight { next_action_ms };
         let execute = Execute {
             request: quick.request,
             attempt: number,
@@ -75,17 +75,17 @@
             body: serde_bytes::ByteBuf::from(quick.quick.body.clone()),
         };
         let to = target.agent;
-        self.timers.insert((act_at_ms, key));
+        self.timers.insert((next_action_ms, key));
         self.send(to, Message::Execute(execute));
     }
 
     /// Looks at a request again at a time.
-    pub(super) fn schedule(&mut self, at_ms: u64, key: QuickKey) {
+    pub(super) fn schedule(&mut self, at_ms: u64, key: PendingRequestKey) {
         self.timers.insert((at_ms, key));
     }
 
     /// Does what is due for a request.
-    pub(super) fn act(&mut self, now: Now, key: QuickKey) {
+    pub(super) fn act(&mut self, now: Now, key: PendingRequestKey) {
         let Some(quick) = self.quicks.get(key) else { return };
         if quick.deadline_ms <= now.mono_ms {
             return self.on_deadline(now, key);
@@ -96,25 +96,33 @@
                 let answer_ms = self.endpoints.answer_ms_of(&class) as u64;
                 if quick.left_ms(now) <= answer_ms {
                     let detail = "it waited until too little time was left";
-                    self.refuse(now, key, refusal_until(ErrorKind::WouldMissDeadline, detail, 100));
+                    self.refuse(
+                        now,
+                        key,
+                        refusal_with_retry_after(ErrorKind::WouldMissDeadline, detail, 100),
+                    );
                 } else {
                     self.pump(now, &class);
                     self.schedule_drop(now, key);
                 }
             }
-            Stage::Following { look_at_ms, .. } if look_at_ms <= now.mono_ms => {
+            Stage::Following { next_lookup_ms, .. } if next_lookup_ms <= now.mono_ms => {
                 self.look_at_claim(now, key)
             }
-            Stage::InFlight { act_at_ms } if act_at_ms <= now.mono_ms && quick.is_idempotent() => {
+            Stage::InFlight { next_action_ms }
+                if next_action_ms <= now.mono_ms && quick.is_idempotent() =>
+            {
                 self.hedge(now, key)
             }
-            Stage::InFlight { act_at_ms } if act_at_ms <= now.mono_ms => self.ask_own(now, key),
+            Stage::InFlight { next_action_ms } if next_action_ms <= now.mono_ms => {
+                self.ask_own(now, key)
+            }
             _ => (),
         }
     }
 
     /// Makes another attempt beside one that is slow to answer.
-    pub(super) fn hedge(&mut self, now: Now, key: QuickKey) {
+    pub(super) fn hedge(&mut self, now: Now, key: PendingRequestKey) {
         let Some(quick) = self.quicks.get_mut(key) else { return };
         quick.may_have_run = true;
         let slow: Vec<_> = quick.attempts.iter().map(|it| (it.endpoint, it.endpoint_id)).collect();
@@ -129,16 +137,20 @@
             }
         }
         if let Some(quick) = self.quicks.get_mut(key) {
-            quick.stage = Stage::InFlight { act_at_ms: quick.deadline_ms };
+            quick.stage = Stage::InFlight { next_action_ms: quick.deadline_ms };
         }
     }
 
-    pub(super) fn on_deadline(&mut self, now: Now, key: QuickKey) {
+    pub(super) fn on_deadline(&mut self, now: Now, key: PendingRequestKey) {
         let Some(quick) = self.quicks.get_mut(key) else { return };
         match quick.stage {
             Stage::Waiting => {
                 let detail = "its deadline passed while it waited";
-                self.refuse(now, key, refusal_until(ErrorKind::DeadlineExpiredQueued, detail, 100));
+                self.refuse(
+                    now,
+                    key,
+                    refusal_with_retry_after(ErrorKind::DeadlineExpiredQueued, detail, 100),
+                );
             }
             Stage::InFlight { .. } if quick.is_idempotent() => {
                 self.refuse(
@@ -149,11 +161,19 @@
             }
             Stage::Checking { .. } => {
                 let detail = "its key could not be looked up in time";
-                self.refuse(now, key, refusal_until(ErrorKind::ControlUnavailable, detail, 500));
+                self.refuse(
+                    now,
+                    key,
+                    refusal_with_retry_after(ErrorKind::ControlUnavailable, detail, 500),
+                );
             }
             Stage::Following { .. } => {
                 let detail = "an earlier request with this key has no outcome yet";
-                self.refuse(now, key, refusal_until(ErrorKind::ClaimInProgress, detail, 1_000));
+                self.refuse(
+                    now,
+                    key,
+                    refusal_with_retry_after(ErrorKind::ClaimInProgress, detail, 1_000),
+                );
             }
             Stage::Claiming { .. } | Stage::InFlight { .. } => {
                 let sent = matches!(quick.stage, Stage::InFlight { .. });
@@ -190,9 +210,9 @@
         for key in affected {
             // What was sent may be lost: no reason to wait for the usual time.
             if let Some(quick) = self.quicks.get_mut(key)
-                && let Stage::InFlight { act_at_ms } = &mut quick.stage
+                && let Stage::InFlight { next_action_ms } = &mut quick.stage
             {
-                *act_at_ms = now.mono_ms;
+                *next_action_ms = now.mono_ms;
                 self.timers.insert((now.mono_ms, key));
             }
         }
@@ -212,15 +232,21 @@
         else {
             let own =
                 it.request.boot == self.options.boot && it.request.number <= self.next_request;
-            return self.metrics.answer_dropped(if own { Dropped::Late } else { Dropped::Foreign });
+            return self.metrics.count_dropped_answer(if own {
+                Dropped::Late
+            } else {
+                Dropped::Foreign
+            });
         };
         let position = quick
             .attempts
             .iter()
             .position(|at| at.number == it.attempt && at.endpoint_id == it.endpoint);
-        let Some(position) = position else { return self.metrics.answer_dropped(Dropped::Late) };
+        let Some(position) = position else {
+            return self.metrics.count_dropped_answer(Dropped::Late);
+        };
         if it.outcome == ExecuteOutcome::Running {
-            quick.stage = Stage::InFlight { act_at_ms: now.mono_ms + ASK_MS };
+            quick.stage = Stage::InFlight { next_action_ms: now.mono_ms + ASK_MS };
             self.timers.insert((now.mono_ms + ASK_MS, key));
             return;
         }
@@ -232,13 +258,13 @@
     pub(super) fn on_outcome(
         &mut self,
         now: Now,
-        key: QuickKey,
+        key: PendingRequestKey,
         attempt: Attempt,
         outcome: ExecuteOutcome,
     ) {
         match outcome {
             ExecuteOutcome::Answered(it) if checksum(&it.body) != it.checksum => {
-                self.metrics.answer_dropped(Dropped::Damaged);
+                self.metrics.count_dropped_answer(Dropped::Damaged);
                 self.on_failed(now, key, attempt, "its answer arrived damaged");
             }
             ExecuteOutcome::Answered(it) => self.on_answered(now, key, attempt, it),
@@ -262,7 +288,13 @@
         }
     }
 
-    pub(super) fn on_answered(&mut self, now: Now, key: QuickKey, attempt: Attempt, it: Answer) {
+    pub(super) fn on_answered(
+        &mut self,
+        now: Now,
+        key: PendingRequestKey,
+        attempt: Attempt,
+        it: Answer,
+    ) {
         let answer_ms = now.mono_ms.saturating_sub(attempt.sent_ms);
         let is_error = 500 <= it.status;
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
@@ -289,13 +321,13 @@
     }
 
     /// Answers the caller with an endpoint's answer.
-    pub(super) fn pass_on(&mut self, now: Now, key: QuickKey, it: Answer) {
+    pub(super) fn pass_on(&mut self, now: Now, key: PendingRequestKey, it: Answer) {
         let Some(quick) = self.quicks.get(key) else { return };
         let total_ms = now.mono_ms.saturating_sub(quick.arrived_ms);
         let attempts = quick.attempts_made;
         let class = quick.quick.class.clone();
         self.metrics.answered(&class, total_ms as f64 / 1_000.0);
-        line_of(&mut self.lines, &class).answers.saturating_record(total_ms.max(1));
+        class_queue(&mut self.lines, &class).answers.saturating_record(total_ms.max(1));
         let answer = CallerAnswer::Quick {
             status: it.status,
             content_type: it.content_type,
@@ -305,7 +337,13 @@
         self.finish(now, key, answer);
     }
 
-    pub(super) fn on_failed(&mut self, now: Now, key: QuickKey, attempt: Attempt, why: &str) {
+    pub(super) fn on_failed(
+        &mut self,
+        now: Now,
+        key: PendingRequestKey,
+        attempt: Attempt,
+        why: &str,
+    ) {
         self.note_failure(now, attempt.endpoint);
         let Some(quick) = self.quicks.get_mut(key) else { return };
         quick.may_have_run = true;
@@ -333,7 +371,7 @@
     pub(super) fn retry(
         &mut self,
         now: Now,
-        key: QuickKey,
+        key: PendingRequestKey,
         failed: EndpointId,
         reason: RetryReason,
     ) {
@@ -362,7 +400,7 @@
     }
 
     /// Gives the final answer to a request that is not tried again.
-    pub(super) fn give_up(&mut self, now: Now, key: QuickKey, kind: ErrorKind) {
+    pub(super) fn give_up(&mut self, now: Now, key: PendingRequestKey, kind: ErrorKind) {
         let Some(quick) = self.quicks.get(key) else { return };
         let tried = quick.attempts_made;
         let last = quick
@@ -370,7 +408,7 @@
             .map(|it| format_compact!(", the last refused as {it}"))
             .unwrap_or_default();
         let detail = format_compact!("{tried} attempts were made{last}");
-        let refusal = refusal_until(kind, detail, 500);
+        let refusal = refusal_with_retry_after(kind, detail, 500);
         self.refuse(now, key, refusal);
     }
 
@@ -378,17 +416,17 @@
     ///
     /// "Not run" must be true of the idempotency key, not only of this sending: before it is said
     /// of a key, its claim is settled, or looked up where this request does not hold it.
-    pub(super) fn refuse(&mut self, now: Now, key: QuickKey, refusal: Refusal) {
+    pub(super) fn refuse(&mut self, now: Now, key: PendingRequestKey, refusal: Refusal) {
         let Some(quick) = self.quicks.get(key) else { return };
         if let Some(it) = quick.error_answer.clone() {
             return self.pass_on(now, key, it);
         }
         let mut refusal = refusal;
-        if quick.may_have_run && answer_of(refusal.kind).ran == Ran::No {
+        if quick.may_have_run && answer_of(refusal.kind).ran == ExecutionStatus::No {
             // Whatever ended it, an earlier attempt may have run.
             refusal.kind = ErrorKind::EndpointFailed;
         }
-        let says_not_run = answer_of(refusal.kind).ran == Ran::No;
+        let says_not_run = answer_of(refusal.kind).ran == ExecutionStatus::No;
         let is_checked = matches!(quick.stage, Stage::Checking { .. });
         if says_not_run && !quick.is_idempotent() && !is_checked {
             return self.check_key(now, key, refusal);
@@ -397,7 +435,7 @@
     }
 
     /// Ends a request, and lets the next one of its class have its place.
-    pub(super) fn finish(&mut self, now: Now, key: QuickKey, answer: CallerAnswer) {
+    pub(super) fn finish(&mut self, now: Now, key: PendingRequestKey, answer: CallerAnswer) {
         self.leave_stage(key);
         let Some(quick) = self.quicks.remove(key) else { return };
         self.by_request.remove(&quick.request);
@@ -422,7 +460,7 @@
     }
 
     /// Gives back what a request holds in its stage: its place in the queue, or on an endpoint.
-    pub(super) fn leave_stage(&mut self, key: QuickKey) {
+    pub(super) fn leave_stage(&mut self, key: PendingRequestKey) {
         let Some(quick) = self.quicks.get(key) else { return };
         match quick.stage {
             Stage::Claiming { endpoint } => self.endpoints.note_ended(endpoint),
--- a/src/entry/core/claims.rs
+++ b/src/entry/core/claims.rs
@@ -1,11 +1,11 @@
 //! Non-idempotent requests: claimed in the log before they are sent, settled after.
 
 use crate::{
-    control::state::Outcome,
+    control::state::ReplyResult,
     entry::{
         core::{ASK_MS, ControlToken, EntryCore},
         endpoints::EndpointKey,
-        pending_request::{QuickKey, Stage},
+        pending_request::{PendingRequestKey, Stage},
         request::CallerAnswer,
     },
     prelude::*,
@@ -26,7 +26,7 @@
 
 impl EntryCore {
     /// Claims a request's key for an endpoint already counted.
-    pub(super) fn claim(&mut self, now: Now, key: QuickKey, endpoint: EndpointKey) {
+    pub(super) fn claim(&mut self, now: Now, key: PendingRequestKey, endpoint: EndpointKey) {
         let (Some(quick), Some(target)) = (self.quicks.get_mut(key), self.endpoints.get(endpoint))
         else {
             return;
@@ -50,7 +50,7 @@
     /// Settles a request's claim as not run, or looks its key up, before its caller is told so.
     ///
     /// Control's answer decides: another sending of the key may have taken the claim over.
-    pub(super) fn check_key(&mut self, now: Now, key: QuickKey, refusal: Refusal) {
+    pub(super) fn check_key(&mut self, now: Now, key: PendingRequestKey, refusal: Refusal) {
         self.leave_stage(key);
         let Some(quick) = self.quicks.get_mut(key) else { return };
         quick.stage = Stage::Checking { refusal };
@@ -68,7 +68,7 @@
     }
 
     /// Takes in the state of a request's claim.
-    pub(super) fn on_claim(&mut self, now: Now, key: QuickKey, outcome: Outcome) {
+    pub(super) fn on_claim(&mut self, now: Now, key: PendingRequestKey, outcome: ReplyResult) {
         let Some(quick) = self.quicks.get_mut(key) else { return };
         if let Stage::Checking { refusal } = &quick.stage {
             let refusal = refusal.clone();
@@ -118,7 +118,7 @@
                         body: answer.body.as_bytes().to_vec(),
                         attempts: 0,
                     },
-                    false => CallerAnswer::AnsweredBefore { status: answer.status },
+                    false => CallerAnswer::AlreadyAnswered { status: answer.status },
                 };
                 self.finish(now, key, answer);
             }
@@ -138,7 +138,11 @@
                     self.finish(
                         now,
                         key,
-                        CallerAnswer::Refused(refusal_until(ErrorKind::QueueFull, detail, 200)),
+                        CallerAnswer::Refused(refusal_with_retry_after(
+                            ErrorKind::QueueFull,
+                            detail,
+                            200,
+                        )),
                     );
                 }
             }
@@ -147,7 +151,7 @@
 
     /// Waits for the outcome of the request that holds the claim, and asks its agent about it
     /// once it is so old that its entry may be gone.
-    fn follow(&mut self, now: Now, key: QuickKey, claim: Option<&Claim>) {
+    fn follow(&mut self, now: Now, key: PendingRequestKey, claim: Option<&Claim>) {
         self.release_claiming(key);
         let Some(quick) = self.quicks.get_mut(key) else { return };
         let asked_ms = match quick.stage {
@@ -158,14 +162,14 @@
         let asked_lately = asked_ms.is_some_and(|it| now.mono_ms < it + ASK_AGAIN_MS);
         let ask = claim.filter(|_| is_stale && !asked_lately);
         let asked_ms = if ask.is_some() { Some(now.mono_ms) } else { asked_ms };
-        quick.stage = Stage::Following { look_at_ms: now.mono_ms + LOOK_MS, asked_ms };
+        quick.stage = Stage::Following { next_lookup_ms: now.mono_ms + LOOK_MS, asked_ms };
         self.schedule(now.mono_ms + LOOK_MS, key);
         if let Some(it) = ask {
             self.ask_agent_of(key, it);
         }
     }
 
-    fn release_claiming(&mut self, key: QuickKey) {
+    fn release_claiming(&mut self, key: PendingRequestKey) {
         if let Some(Stage::Claiming { endpoint }) = self.quicks.get(key).map(|it| it.stage.clone())
         {
             self.endpoints.note_ended(endpoint);
@@ -176,10 +180,10 @@
     }
 
     /// Asks control how the claim stands now.
-    pub(super) fn look_at_claim(&mut self, now: Now, key: QuickKey) {
+    pub(super) fn look_at_claim(&mut self, now: Now, key: PendingRequestKey) {
         let Some(quick) = self.quicks.get_mut(key) else { return };
-        if let Stage::Following { look_at_ms, .. } = &mut quick.stage {
-            *look_at_ms = quick.deadline_ms;
+        if let Stage::Following { next_lookup_ms, .. } = &mut quick.stage {
+            *next_lookup_ms = quick.deadline_ms;
         }
         let query = ClaimQuery { team: quick.team.clone(), key: quick.key() };
         let deadline_ms = quick.deadline_ms;
@@ -191,7 +195,7 @@
     ///
     /// An attempt that the agent has not seen by then never runs there, even if the holder's
     /// message is still on its way; so whoever asks may go on.
-    fn ask_agent_of(&mut self, key: QuickKey, claim: &Claim) {
+    fn ask_agent_of(&mut self, key: PendingRequestKey, claim: &Claim) {
         self.asked.insert((claim.request, claim.attempt), key);
         let query = OutcomeQuery {
             request: claim.request,
@@ -203,9 +207,9 @@
     }
 
     /// Asks the agents of a request's own attempts what became of them.
-    pub(super) fn ask_own(&mut self, now: Now, key: QuickKey) {
+    pub(super) fn ask_own(&mut self, now: Now, key: PendingRequestKey) {
         let Some(quick) = self.quicks.get_mut(key) else { return };
-        quick.stage = Stage::InFlight { act_at_ms: now.mono_ms + ASK_MS };
+        quick.stage = Stage::InFlight { next_action_ms: now.mono_ms + ASK_MS };
         let request = quick.request;
         let attempts = quick.attempts.clone();
         for it in attempts {
@@ -222,7 +226,12 @@
     }
 
     /// Takes in what an agent says of an attempt of another request with the same key.
-    pub(super) fn on_foreign_outcome(&mut self, now: Now, key: QuickKey, it: ExecuteReply) {
+    pub(super) fn on_foreign_outcome(
+        &mut self,
+        now: Now,
+        key: PendingRequestKey,
+        it: ExecuteReply,
+    ) {
         let outcome = match it.outcome {
             ExecuteOutcome::Answered(answer) if checksum(&answer.body) == answer.checksum => {
                 ClaimOutcome::Done(stored(&answer))
@@ -244,7 +253,7 @@
     }
 
     /// Records the answer of a request's own attempt.
-    pub(super) fn settle_done(&mut self, now: Now, key: QuickKey, answer: &Answer) {
+    pub(super) fn settle_done(&mut self, now: Now, key: PendingRequestKey, answer: &Answer) {
         self.settle(now, key, ClaimOutcome::Done(stored(answer)), ControlToken::Nobody);
     }
 
@@ -252,7 +261,7 @@
     pub(super) fn settle(
         &mut self,
         now: Now,
-        key: QuickKey,
+        key: PendingRequestKey,
         outcome: ClaimOutcome,
         token: ControlToken,
     ) {
@@ -268,7 +277,7 @@
     }
 
     /// Ends a request whose caller has been answered.
-    pub(super) fn give_up_following(&mut self, now: Now, key: QuickKey) {
+    pub(super) fn give_up_following(&mut self, now: Now, key: PendingRequestKey) {
         let Some(quick) = self.quicks.get(key) else { return };
         let outcome = match quick.stage {
             Stage::InFlight { .. } => ClaimOutcome::Unknown,
--- a/src/entry/core/mod.rs
+++ b/src/entry/core/mod.rs
@@ -15,11 +15,11 @@
 use slotmap::SlotMap;
 
 use crate::{
-    config::Adopted,
-    control::{client::ControlClient, state::Outcome},
+    config::AdoptedConfiguration,
+    control::{client::ControlClient, state::ReplyResult},
     entry::{
         endpoints::Endpoints,
-        pending_request::{Quick, QuickKey},
+        pending_request::{PendingRequestKey, Quick},
         request::{CallerAnswer, CallerRequest, Effect, Input},
     },
     metrics::Metrics,
@@ -70,7 +70,7 @@
     Caller(u64),
     Poll(u64),
     /// A claim, a settlement or a look at a claim, for a quick request.
-    Claim(QuickKey),
+    Claim(PendingRequestKey),
     /// Nobody waits for it.
     Nobody,
 }
@@ -86,8 +86,8 @@
 
 /// The quick requests of one class that wait, and the class's answer times.
 #[derive(Debug)]
-struct ClassLine {
-    queue: FairQueue<QuickKey>,
+struct ClassQueue {
+    queue: FairQueue<PendingRequestKey>,
     answers: Histogram<u32>,
 }
 
@@ -97,14 +97,14 @@
     metrics: Arc<Metrics>,
     random: fastrand::Rng,
     pub(super) client: ControlClient<ControlToken>,
-    adopted: Adopted,
+    adopted: AdoptedConfiguration,
     pub(super) endpoints: Endpoints,
-    pub(super) quicks: SlotMap<QuickKey, Quick>,
-    by_request: HashMap<RequestId, QuickKey>,
+    pub(super) quicks: SlotMap<PendingRequestKey, Quick>,
+    by_request: HashMap<RequestId, PendingRequestKey>,
     /// Attempts of other requests that agents were asked about, by who asked.
-    pub(super) asked: HashMap<(RequestId, u32), QuickKey>,
-    timers: BTreeSet<(u64, QuickKey)>,
-    lines: BTreeMap<CompactString, ClassLine>,
+    pub(super) asked: HashMap<(RequestId, u32), PendingRequestKey>,
+    timers: BTreeSet<(u64, PendingRequestKey)>,
+    lines: BTreeMap<CompactString, ClassQueue>,
     by_team: HashMap<CompactString, u32>,
     polls: BTreeMap<u64, Poll>,
     budget: RetryBudget,
@@ -126,7 +126,7 @@
             budget: RetryBudget::new(options.settings.retry_budget_permille),
             options,
             metrics,
-            adopted: Adopted::new(),
+            adopted: AdoptedConfiguration::new(),
             endpoints: Endpoints::default(),
             quicks: SlotMap::with_key(),
             by_request: HashMap::new(),
@@ -318,7 +318,7 @@
 
     fn on_request(&mut self, now: Now, token: u64, team: CompactString, request: CallerRequest) {
         let open = self.quicks.len() + self.polls.len() + self.operations;
-        let request = match (self.check_room(open), request) {
+        let request = match (self.check_request_limit(open), request) {
             // A keyed request that cannot be served has its key looked up first.
             (busy, CallerRequest::Quick(it)) => {
                 return self.on_quick(now, token, team, it, busy.err());
@@ -371,7 +371,7 @@
         self.client.call(now, operation, deadline_ms, ControlToken::Caller(token));
     }
 
-    fn on_control(&mut self, now: Now, token: ControlToken, outcome: Outcome) {
+    fn on_control(&mut self, now: Now, token: ControlToken, outcome: ReplyResult) {
         match token {
             ControlToken::Caller(token) => {
                 self.operations -= 1;
@@ -384,18 +384,18 @@
     }
 }
 
-fn line_of<'a>(
-    lines: &'a mut BTreeMap<CompactString, ClassLine>,
+fn class_queue<'a>(
+    lines: &'a mut BTreeMap<CompactString, ClassQueue>,
     class: &str,
-) -> &'a mut ClassLine {
-    lines.entry(class.into()).or_insert_with(|| ClassLine {
+) -> &'a mut ClassQueue {
+    lines.entry(class.into()).or_insert_with(|| ClassQueue {
         queue: FairQueue::new(),
         answers: Histogram::new_with_bounds(1, 600_000, 2)
             .expect("the bounds are constant and valid"),
     })
 }
 
-fn caller_answer(outcome: Outcome) -> CallerAnswer {
+fn caller_answer(outcome: ReplyResult) -> CallerAnswer {
     match outcome {
         Ok(it) => CallerAnswer::Done(it),
         Err(it) => CallerAnswer::Refused(it),
--- a/src/entry/core/polls.rs
+++ b/src/entry/core/polls.rs
@@ -1,7 +1,7 @@
 //! Polls that are held until there is something to tell.
 
 use crate::{
-    control::state::Outcome,
+    control::state::ReplyResult,
     entry::core::{ControlToken, EntryCore, POLL_MS, Poll, caller_answer},
     prelude::*,
 };
@@ -25,7 +25,7 @@
         }
     }
 
-    pub(super) fn on_poll_reply(&mut self, now: Now, token: u64, outcome: Outcome) {
+    pub(super) fn on_poll_reply(&mut self, now: Now, token: u64, outcome: ReplyResult) {
         let Some(poll) = self.polls.get_mut(&token) else { return };
         let has_news = match &outcome {
             Ok(Reply::Document(text)) => tells_news(text),
--- a/src/entry/endpoints.rs
+++ b/src/entry/endpoints.rs
@@ -7,7 +7,7 @@
 use crate::{
     policy::{
         retry::Ejection,
-        routing::{self, AnswerTime, EndpointView},
+        routing::{self, AnswerTimeEstimate, EndpointView},
     },
     prelude::*,
 };
@@ -32,7 +32,7 @@
     pub gone: bool,
     pub in_flight: u32,
     pub ejection: Ejection,
-    pub answer_time: AnswerTime,
+    pub answer_time: AnswerTimeEstimate,
     same_zone: bool,
     reported: u32,
     reported_ms: u64,
@@ -221,7 +221,7 @@
             gone: false,
             in_flight: 0,
             ejection: Ejection::default(),
-            answer_time: AnswerTime::new(FIRST_GUESS_MS),
+            answer_time: AnswerTimeEstimate::new(FIRST_GUESS_MS),
             same_zone: it.zone == zone,
             reported: 0,
             reported_ms: now.mono_ms,
--- a/src/entry/pending_request.rs
+++ b/src/entry/pending_request.rs
@@ -9,7 +9,7 @@
 
 slotmap::new_key_type! {
     /// A small copyable key of a quick request in this entry.
-    pub(super) struct QuickKey;
+    pub(super) struct PendingRequestKey;
 }
 
 /// One attempt sent and not answered.
@@ -29,13 +29,13 @@
     /// Its key is being claimed for this endpoint; nothing is sent before.
     Claiming { endpoint: EndpointKey },
     /// Another request holds the claim of its key; its outcome is looked up from time to time.
-    Following { look_at_ms: u64, asked_ms: Option<u64> },
+    Following { next_lookup_ms: u64, asked_ms: Option<u64> },
     /// It cannot be served; its key is looked up before that is said.
     Checking { refusal: Refusal },
     /// One or more attempts are under way.
     InFlight {
         /// When another attempt is made, or the agent is asked what became of this one.
-        act_at_ms: u64,
+        next_action_ms: u64,
     },
 }
 
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -61,7 +61,7 @@
         attempts: u32,
     },
     /// The answer was given to an earlier request with this key, and its body is not kept.
-    AnsweredBefore {
+    AlreadyAnswered {
         status: u16,
     },
     Done(Reply),
