--- a/src/error/mod.rs
+++ b/src/error/mod.rs
@@ -48,7 +48,7 @@
 
 /// Whether the request behind an error ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ran {
+pub enum ExecutionStatus {
     /// It did not run, and no later event makes it run.
     No,
     /// It may have run; a non-idempotent request must not be sent under another key.
@@ -57,72 +57,72 @@
     Yes,
 }
 
-impl Ran {
+impl ExecutionStatus {
     /// Returns the word used in answers.
     pub fn as_str(self) -> &'static str {
         match self {
-            Ran::No => "no",
-            Ran::Unknown => "unknown",
-            Ran::Yes => "yes",
+            ExecutionStatus::No => "no",
+            ExecutionStatus::Unknown => "unknown",
+            ExecutionStatus::Yes => "yes",
         }
     }
 }
 
 /// How an error kind is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerRow {
+pub struct ErrorAnswer {
     pub kind: ErrorKind,
     pub status: u16,
-    pub ran: Ran,
+    pub ran: ExecutionStatus,
     /// Whether the same request may succeed later.
     pub retryable: bool,
 }
 
-const fn row(kind: ErrorKind, status: u16, ran: Ran, retryable: bool) -> AnswerRow {
-    AnswerRow { kind, status, ran, retryable }
+const fn row(kind: ErrorKind, status: u16, ran: ExecutionStatus, retryable: bool) -> ErrorAnswer {
+    ErrorAnswer { kind, status, ran, retryable }
 }
 
 /// Every kind with its answer, in the order of the schema.
-pub const ANSWERS: &[AnswerRow] = &[
-    row(ErrorKind::BadRequest, 400, Ran::No, false),
-    row(ErrorKind::Unauthenticated, 401, Ran::No, false),
-    row(ErrorKind::Forbidden, 403, Ran::No, false),
-    row(ErrorKind::NotFound, 404, Ran::No, false),
-    row(ErrorKind::MethodNotAllowed, 405, Ran::No, false),
-    row(ErrorKind::PayloadTooLarge, 413, Ran::No, false),
-    row(ErrorKind::UnknownTeam, 403, Ran::No, false),
-    row(ErrorKind::UnknownClass, 400, Ran::No, false),
-    row(ErrorKind::WrongClassKind, 400, Ran::No, false),
-    row(ErrorKind::DeadlineOutOfRange, 400, Ran::No, false),
-    row(ErrorKind::QueueFull, 429, Ran::No, true),
-    row(ErrorKind::TeamShareExceeded, 429, Ran::No, true),
-    row(ErrorKind::WouldMissDeadline, 503, Ran::No, true),
-    row(ErrorKind::NoEndpoint, 503, Ran::No, true),
-    row(ErrorKind::EndpointLeaving, 503, Ran::No, true),
-    row(ErrorKind::EndpointBusy, 503, Ran::No, true),
-    row(ErrorKind::StaleSession, 503, Ran::No, true),
-    row(ErrorKind::Draining, 503, Ran::No, true),
-    row(ErrorKind::RetryBudgetExhausted, 503, Ran::No, true),
-    row(ErrorKind::DeadlineExpiredQueued, 504, Ran::No, true),
-    row(ErrorKind::AttemptsExhausted, 503, Ran::No, true),
-    row(ErrorKind::OutcomeUnknown, 502, Ran::Unknown, false),
-    row(ErrorKind::AnswerLate, 504, Ran::Unknown, true),
-    row(ErrorKind::EndpointFailed, 502, Ran::Unknown, true),
-    row(ErrorKind::ControlUnavailable, 503, Ran::Unknown, true),
-    row(ErrorKind::NotLeader, 503, Ran::No, true),
-    row(ErrorKind::DiskFull, 507, Ran::No, true),
-    row(ErrorKind::TableFull, 429, Ran::No, true),
-    row(ErrorKind::QuotaExceeded, 429, Ran::No, true),
-    row(ErrorKind::Infeasible, 422, Ran::No, false),
-    row(ErrorKind::RevisionConflict, 409, Ran::No, false),
-    row(ErrorKind::KeyReused, 422, Ran::No, false),
-    row(ErrorKind::ClaimInProgress, 409, Ran::Unknown, true),
-    row(ErrorKind::AlreadyFinished, 409, Ran::No, false),
-    row(ErrorKind::MembershipUnsafe, 409, Ran::No, true),
-    row(ErrorKind::CursorTooOld, 410, Ran::No, false),
-    row(ErrorKind::VersionUnsupported, 426, Ran::No, false),
-    row(ErrorKind::ShuttingDown, 503, Ran::No, true),
-    row(ErrorKind::Internal, 500, Ran::Unknown, true),
+pub const ERROR_ANSWERS: &[ErrorAnswer] = &[
+    row(ErrorKind::BadRequest, 400, ExecutionStatus::No, false),
+    row(ErrorKind::Unauthenticated, 401, ExecutionStatus::No, false),
+    row(ErrorKind::Forbidden, 403, ExecutionStatus::No, false),
+    row(ErrorKind::NotFound, 404, ExecutionStatus::No, false),
+    row(ErrorKind::MethodNotAllowed, 405, ExecutionStatus::No, false),
+    row(ErrorKind::PayloadTooLarge, 413, ExecutionStatus::No, false),
+    row(ErrorKind::UnknownTeam, 403, ExecutionStatus::No, false),
+    row(ErrorKind::UnknownClass, 400, ExecutionStatus::No, false),
+    row(ErrorKind::WrongClassKind, 400, ExecutionStatus::No, false),
+    row(ErrorKind::DeadlineOutOfRange, 400, ExecutionStatus::No, false),
+    row(ErrorKind::QueueFull, 429, ExecutionStatus::No, true),
+    row(ErrorKind::TeamShareExceeded, 429, ExecutionStatus::No, true),
+    row(ErrorKind::WouldMissDeadline, 503, ExecutionStatus::No, true),
+    row(ErrorKind::NoEndpoint, 503, ExecutionStatus::No, true),
+    row(ErrorKind::EndpointLeaving, 503, ExecutionStatus::No, true),
+    row(ErrorKind::EndpointBusy, 503, ExecutionStatus::No, true),
+    row(ErrorKind::StaleSession, 503, ExecutionStatus::No, true),
+    row(ErrorKind::Draining, 503, ExecutionStatus::No, true),
+    row(ErrorKind::RetryBudgetExhausted, 503, ExecutionStatus::No, true),
+    row(ErrorKind::DeadlineExpiredQueued, 504, ExecutionStatus::No, true),
+    row(ErrorKind::AttemptsExhausted, 503, ExecutionStatus::No, true),
+    row(ErrorKind::OutcomeUnknown, 502, ExecutionStatus::Unknown, false),
+    row(ErrorKind::AnswerLate, 504, ExecutionStatus::Unknown, true),
+    row(ErrorKind::EndpointFailed, 502, ExecutionStatus::Unknown, true),
+    row(ErrorKind::ControlUnavailable, 503, ExecutionStatus::Unknown, true),
+    row(ErrorKind::NotLeader, 503, ExecutionStatus::No, true),
+    row(ErrorKind::DiskFull, 507, ExecutionStatus::No, true),
+    row(ErrorKind::TableFull, 429, ExecutionStatus::No, true),
+    row(ErrorKind::QuotaExceeded, 429, ExecutionStatus::No, true),
+    row(ErrorKind::Infeasible, 422, ExecutionStatus::No, false),
+    row(ErrorKind::RevisionConflict, 409, ExecutionStatus::No, false),
+    row(ErrorKind::KeyReused, 422, ExecutionStatus::No, false),
+    row(ErrorKind::ClaimInProgress, 409, ExecutionStatus::Unknown, true),
+    row(ErrorKind::AlreadyFinished, 409, ExecutionStatus::No, false),
+    row(ErrorKind::MembershipUnsafe, 409, ExecutionStatus::No, true),
+    row(ErrorKind::CursorTooOld, 410, ExecutionStatus::No, false),
+    row(ErrorKind::VersionUnsupported, 426, ExecutionStatus::No, false),
+    row(ErrorKind::ShuttingDown, 503, ExecutionStatus::No, true),
+    row(ErrorKind::Internal, 500, ExecutionStatus::Unknown, true),
 ];
 
 /// Returns how errors of `kind` are answered.
@@ -133,9 +133,9 @@
 /// let row = answer_of(ErrorKind::QueueFull);
 /// assert_eq!((row.status, row.ran, row.retryable), (429, Ran::No, true));
 /// ```
-pub fn answer_of(kind: ErrorKind) -> AnswerRow {
+pub fn answer_of(kind: ErrorKind) -> ErrorAnswer {
     // The table is in the order of the enum; a test holds the two together.
-    ANSWERS[kind as usize]
+    ERROR_ANSWERS[kind as usize]
 }
 
 /// Makes a refusal that is not worth repeating.
@@ -144,7 +144,7 @@
 }
 
 /// Makes a refusal that says when to come back.
-pub fn refusal_until(
+pub fn refusal_with_retry_after(
     kind: ErrorKind,
     detail: impl Into<CompactString>,
     retry_after_ms: u64,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
-use crate::{control::leader_finder::Finder, prelude::*};
+use crate::{control::leader_finder::LeaderFinder, prelude::*};
 
 /// What a gateway is told by the settings.
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
     },
     Message(Box<Message>),
     /// Other control addresses, from changed settings.
-    Controls(Vec<SocketAddr>),
+    ControlAddresses(Vec<SocketAddr>),
     Tick,
     /// A planned stop.
     Stop,
@@ -127,7 +127,7 @@
 /// A gateway, without its I/O.
 pub struct GatewayCore {
     options: GatewayOptions,
-    finder: Finder,
+    leader_finder: LeaderFinder,
     calls: BTreeMap<u64, Call>,
     next_id: u64,
     led_ms: Option<u64>,
@@ -142,7 +142,7 @@
     /// Makes a gateway that knows no leader yet.
     pub fn new(options: GatewayOptions) -> GatewayCore {
         GatewayCore {
-            finder: Finder::new(options.controls.clone(), options.boot),
+            leader_finder: LeaderFinder::new(options.controls.clone(), options.boot),
             calls: BTreeMap::new(),
             next_id: options.boot,
             led_ms: None,
@@ -181,7 +181,7 @@
         match input {
             Input::Request { token, request, wait_ms } => self.begin(now, token, request, wait_ms),
             Input::Message(it) => self.on_message(now, *it),
-            Input::Controls(it) => self.finder.set_seeds(it),
+            Input::ControlAddresses(it) => self.leader_finder.set_seeds(it),
             Input::Tick => self.tick(now),
             Input::Stop => self.is_stopping = true,
         }
@@ -247,34 +247,34 @@
     fn on_message(&mut self, now: Now, message: Message) {
         match message {
             Message::WorkflowAnswer(it) => self.on_answer(now, it),
-            Message::NotLeader(hint) => self.finder.set_leader(hint),
+            Message::NotLeader(hint) => self.leader_finder.set_leader(hint),
             _ => (),
         }
     }
 
     fn on_answer(&mut self, now: Now, it: WorkflowAnswer) {
-        self.finder.set_members(&it.members);
+        self.leader_finder.set_members(&it.members);
         let Some(call) = self.calls.get_mut(&it.id) else { return };
         call.unanswered = call.unanswered.saturating_sub(1);
         if it.outcome == WorkflowOutcome::Interrupted {
             call.is_interrupted = true;
             call.next_ms = now.mono_ms + self.options.election_pause_ms;
-            self.finder.try_next();
+            self.leader_finder.try_next();
             return self.lose_leader(now);
         }
         if let WorkflowOutcome::NotLeader(hint) = it.outcome {
             let pause_ms = if hint.is_some() { 0 } else { self.options.election_pause_ms };
             call.next_ms = now.mono_ms + pause_ms;
             let is_same = hint.is_some() && hint == call.sent_to;
-            self.finder.set_leader(hint.filter(|_| !is_same));
-            if self.finder.leader().is_none() {
+            self.leader_finder.set_leader(hint.filter(|_| !is_same));
+            if self.leader_finder.leader().is_none() {
                 self.lose_leader(now);
             }
             return self.resend_elsewhere(now, it.id, pause_ms);
         }
-        let leader = call.sent_to.or(self.finder.leader());
+        let leader = call.sent_to.or(self.leader_finder.leader());
         self.led_ms = Some(now.mono_ms);
-        self.finder.set_leader(leader);
+        self.leader_finder.set_leader(leader);
         if let Some(since_ms) = self.leaderless_since_ms.take() {
             tracing::info!(event = "leader_found", leader = ?leader, after_ms = now.mono_ms.saturating_sub(since_ms));
             self.send_parked(now);
@@ -314,7 +314,7 @@
     /// Sends a call on to the leader named in an answer, or keeps it until one is known.
     fn resend_elsewhere(&mut self, now: Now, id: u64, pause_ms: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        match (self.finder.leader(), call.token) {
+        match (self.leader_finder.leader(), call.token) {
             (Some(_), _) => self.send(now, id),
             (None, PROBE) => call.next_ms = now.mono_ms + pause_ms.max(1),
             (None, _) if call.may_have_been_taken() => (),
@@ -382,7 +382,7 @@
             .filter(|(_, it)| it.next_ms <= now.mono_ms)
             .map(|(id, _)| *id)
             .collect();
-        let silent = self.finder.leader().filter(|leader| {
+        let silent = self.leader_finder.leader().filter(|leader| {
             due.iter().any(|id| {
                 self.calls
                     .get(id)
@@ -391,10 +391,10 @@
         });
         if let Some(leader) = silent {
             tracing::warn!(event = "leader_silent", leader = %leader, calls = due.len());
-            self.finder.try_next();
+            self.leader_finder.try_next();
             self.lose_leader(now);
-        } else if !due.is_empty() && self.finder.leader().is_none() {
-            self.finder.try_next();
+        } else if !due.is_empty() && self.leader_finder.leader().is_none() {
+            self.leader_finder.try_next();
         }
         for id in due {
             let is_probe = self.calls.get(&id).is_some_and(|it| it.token == PROBE);
@@ -408,7 +408,7 @@
     }
 
     fn send(&mut self, now: Now, id: u64) {
-        let Some(to) = self.finder.target() else { return };
+        let Some(to) = self.leader_finder.target() else { return };
         let Some(call) = self.calls.get_mut(&id) else { return };
         let is_search = call.token == PROBE && self.leaderless_since_ms.is_some();
         let pause_ms =
--- a/src/http/caller.rs
+++ b/src/http/caller.rs
@@ -120,7 +120,7 @@
             headers: vec![("Aspenrail-Attempts", attempts.to_string())],
             body,
         },
-        CallerAnswer::AnsweredBefore { status } => HttpAnswer::json(
+        CallerAnswer::AlreadyAnswered { status } => HttpAnswer::json(
             200,
             &serde_json::json!({"answered_before": true, "status": status, "body_kept": false}),
         ),
--- a/src/http/outgoing.rs
+++ b/src/http/outgoing.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutgoingError {
     /// Nobody listens at the address; the request was not sent.
-    NobodyThere,
+    ConnectionRefused,
     /// The request may have arrived.
     NoAnswer,
 }
@@ -104,7 +104,7 @@
 
     async fn connect(&self) -> Result<SendRequest<Full<Bytes>>, OutgoingError> {
         let tcp = TcpStream::connect(self.address).await.map_err(|it| match it.kind() {
-            io::ErrorKind::ConnectionRefused => OutgoingError::NobodyThere,
+            io::ErrorKind::ConnectionRefused => OutgoingError::ConnectionRefused,
             _ => OutgoingError::NoAnswer,
         })?;
         // Without this a small request waits for a delayed acknowledgement.
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -11,7 +11,8 @@
 };
 
 use crate::{
-    error::ANSWERS, gateway::Cause, node::Unusable, policy::retry::RetryReason, prelude::*,
+    error::ERROR_ANSWERS, gateway::Cause, node::AnnouncementRejection, policy::retry::RetryReason,
+    prelude::*,
 };
 
 /// Why an answer was not passed on.
@@ -120,7 +121,9 @@
         )?;
         let link_dropped =
             counters("aspenrail_link_dropped_total", "Messages not sent, by reason.", "reason")?;
-        ANSWERS.iter().for_each(|it| drop(refusals.with_label_values(&[&it.kind.to_string()])));
+        ERROR_ANSWERS
+            .iter()
+            .for_each(|it| drop(refusals.with_label_values(&[&it.kind.to_string()])));
         RetryReason::ALL.iter().for_each(|it| drop(retries.with_label_values(&[it.as_str()])));
         Dropped::ALL.iter().for_each(|it| drop(dropped.with_label_values(&[it.as_str()])));
         LINK_DROP_REASONS.iter().for_each(|it| drop(link_dropped.with_label_values(&[it])));
@@ -141,7 +144,7 @@
             "Announcements of workers that named none for use, by cause.",
             "cause",
         )?;
-        Unusable::ALL
+        AnnouncementRejection::ALL
             .iter()
             .for_each(|it| drop(announcements_passed_over.with_label_values(&[it.as_str()])));
         let options = HistogramOpts::new(
@@ -227,7 +230,7 @@
     }
 
     /// Returns how often a kind was refused.
-    pub fn refusals_of(&self, kind: ErrorKind) -> u64 {
+    pub fn refusal_count(&self, kind: ErrorKind) -> u64 {
         self.refusals.with_label_values(&[&kind.to_string()]).get()
     }
 
@@ -237,7 +240,7 @@
     }
 
     /// Counts an answer that was not passed on.
-    pub fn answer_dropped(&self, reason: Dropped) {
+    pub fn count_dropped_answer(&self, reason: Dropped) {
         self.dropped.with_label_values(&[reason.as_str()]).inc();
     }
 
@@ -247,7 +250,7 @@
     }
 
     /// Counts an announcement of a worker that named none for use.
-    pub fn announcement_passed_over(&self, cause: Unusable) {
+    pub fn announcement_passed_over(&self, cause: AnnouncementRejection) {
         self.announcements_passed_over.with_label_values(&[cause.as_str()]).inc();
     }
 
@@ -262,7 +265,7 @@
     }
 
     /// Returns how many connections were given up as silent.
-    pub fn silent_links(&self) -> u64 {
+    pub fn silent_link_count(&self) -> u64 {
         self.link_silent.get()
     }
 
--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -1,6 +1,6 @@
 //! Calls of a worker, and what they come back with.
 
-use crate::{prelude::*, util::lifetime_name};
+use crate::{prelude::*, util::incarnation_name};
 
 /// One call of the worker beside this node.
 #[derive(Clone, Debug)]
@@ -45,19 +45,19 @@
     Held {
         clock_ms: u64,
         /// Start of the lifetime that answers, where it says so.
-        born_ms: Option<u64>,
+        started_unix_ms: Option<u64>,
         running: Vec<RunningTask>,
         ended: Vec<EndedRun>,
     },
     /// As `Held`, with rows that cannot be read, or cut short, where none of them is unreadable: what
     /// is not listed may run all the same. Ends behind an unreadable row stand apart, since to
     /// acknowledge one is to acknowledge all before.
-    HeldInPart {
+    PartialRunList {
         clock_ms: u64,
-        born_ms: Option<u64>,
+        started_unix_ms: Option<u64>,
         running: Vec<RunningTask>,
         ended: Vec<EndedRun>,
-        ended_later: Vec<EndedRun>,
+        ended_after_unreadable: Vec<EndedRun>,
         unreadable: usize,
     },
     Done {
@@ -74,7 +74,7 @@
     /// The worker cannot read the call; a repetition would not help.
     Invalid(CompactString),
     /// Nobody listens there any more.
-    NobodyThere,
+    ConnectionRefused,
     /// No answer: it may have been carried out, or may yet be.
     NoAnswer,
 }
@@ -95,7 +95,7 @@
 
 /// Why what was said of a worker names none for use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unusable {
+pub enum AnnouncementRejection {
     /// No JSON, or not of this size or encoding.
     Unreadable,
     /// Fields are missing, or of another type.
@@ -103,29 +103,29 @@
     /// A state that is not known.
     UnknownState,
     /// A pool of workers that the configuration does not name.
-    ForeignService,
+    UnknownService,
     /// No newer than what was said before, or of a lifetime that is over.
     Late,
 }
 
-impl Unusable {
+impl AnnouncementRejection {
     /// All causes, for counters that exist from the start.
-    pub const ALL: [Unusable; 5] = [
-        Unusable::Unreadable,
-        Unusable::Malformed,
-        Unusable::UnknownState,
-        Unusable::ForeignService,
-        Unusable::Late,
+    pub const ALL: [AnnouncementRejection; 5] = [
+        AnnouncementRejection::Unreadable,
+        AnnouncementRejection::Malformed,
+        AnnouncementRejection::UnknownState,
+        AnnouncementRejection::UnknownService,
+        AnnouncementRejection::Late,
     ];
 
     /// Returns the label of its counter.
     pub fn as_str(self) -> &'static str {
         match self {
-            Unusable::Unreadable => "unreadable",
-            Unusable::Malformed => "malformed",
-            Unusable::UnknownState => "unknown_state",
-            Unusable::ForeignService => "foreign_service",
-            Unusable::Late => "late",
+            AnnouncementRejection::Unreadable => "unreadable",
+            AnnouncementRejection::Malformed => "malformed",
+            AnnouncementRejection::UnknownState => "unknown_state",
+            AnnouncementRejection::UnknownService => "foreign_service",
+            AnnouncementRejection::Late => "late",
         }
     }
 }
@@ -147,13 +147,13 @@
     /// Rises with each announcement of a lifetime.
     pub sequence: u64,
     /// Unix millisecond of its start, by the worker's clock; nothing where it does not say so.
-    pub born_ms: Option<u64>,
+    pub started_unix_ms: Option<u64>,
 }
 
 impl Announcement {
     /// Returns the name of the lifetime that announces itself.
     pub fn lifetime(&self) -> CompactString {
-        lifetime_name(&self.id, self.born_ms)
+        incarnation_name(&self.id, self.started_unix_ms)
     }
 }
 
@@ -162,12 +162,13 @@
 pub struct Departure {
     pub id: CompactString,
     /// Start of the lifetime that ends, where it says so.
-    pub born_ms: Option<u64>,
+    pub started_unix_ms: Option<u64>,
 }
 
 impl Departure {
     /// Returns whether this may be said by the lifetime that announced itself so.
     pub(super) fn is_of(&self, it: &Announcement) -> bool {
-        self.id == it.id && (self.born_ms.is_none() || self.born_ms == it.born_ms)
+        self.id == it.id
+            && (self.started_unix_ms.is_none() || self.started_unix_ms == it.started_unix_ms)
     }
 }
--- a/src/node/fillers.rs
+++ b/src/node/fillers.rs
@@ -5,8 +5,8 @@
 use crate::{
     node::worker::{Lifetime, Used},
     policy::{
-        contention::{UNKNOWN_PERCENT, headroom_percent, reference_cores},
-        throttling::{FillerReading, Pacer, ServingReading, Usage},
+        contention::{UNKNOWN_COST_PERCENT, headroom_percent, reference_cores},
+        throttling::{FillerReading, ServingReading, Throttler, Usage},
     },
     prelude::*,
 };
@@ -41,7 +41,7 @@
         let running = self.running.iter().filter_map(|it| match self.roles.get(&it.run) {
             Some(TaskRole::Filler(role)) => Some(FillerReading {
                 run: it.run,
-                need_cores: f64::from(role.cpu_millicores) / 1_000.0,
+                full_speed_cores: f64::from(role.cpu_millicores) / 1_000.0,
                 used_cores: self.usages.get(&it.run).map_or(0.0, |it| it.usage.cores),
                 costs_percent: costs(&role.image),
             }),
@@ -49,7 +49,7 @@
         });
         let ended = self.ended_fillers().map(|(run, it)| FillerReading {
             run,
-            need_cores: 0.0,
+            full_speed_cores: 0.0,
             used_cores: it.usage.cores,
             costs_percent: costs(&it.image),
         });
@@ -103,17 +103,21 @@
     /// Decides anew how fast each filler may work.
     pub(super) fn pace(&mut self, now: Now) {
         self.read_usages(now);
-        self.decide_paces(|pacer, serving, fillers| pacer.observe(serving, fillers, now.mono_ms));
+        self.update_speeds(|throttler, serving, fillers| {
+            throttler.observe(serving, fillers, now.mono_ms)
+        });
     }
 
     /// Decides how fast a filler may work that has just begun, from what was last read.
-    pub(super) fn pace_newcomer(&mut self, now: Now) {
-        self.decide_paces(|pacer, serving, fillers| pacer.share_out(serving, fillers, now.mono_ms));
+    pub(super) fn throttle_started_filler(&mut self, now: Now) {
+        self.update_speeds(|throttler, serving, fillers| {
+            throttler.reallocate(serving, fillers, now.mono_ms)
+        });
     }
 
-    fn decide_paces(
+    fn update_speeds(
         &mut self,
-        decide: impl FnOnce(&mut Pacer, &[ServingReading], &[FillerReading]),
+        decide: impl FnOnce(&mut Throttler, &[ServingReading], &[FillerReading]),
     ) {
         let (readings, fillers) = {
             let serving = self.serving();
@@ -121,10 +125,11 @@
             let fillers = self.fillers(&images);
             (serving.into_iter().map(|(it, _)| it).collect::<Vec<_>>(), fillers)
         };
-        let sum = |pacer: &Pacer| fillers.iter().map(|it| pacer.percent(it.run)).sum::<u32>();
-        let before = sum(&self.pacer);
-        decide(&mut self.pacer, &readings, &fillers);
-        let after = sum(&self.pacer);
+        let sum =
+            |throttler: &Throttler| fillers.iter().map(|it| throttler.percent(it.run)).sum::<u32>();
+        let before = sum(&self.throttler);
+        decide(&mut self.throttler, &readings, &fillers);
+        let after = sum(&self.throttler);
         if before != after {
             let least = readings.iter().map(|it| it.headroom_percent).fold(f64::MAX, f64::min);
             let count = fillers.len().max(1) as u32;
@@ -133,21 +138,21 @@
     }
 
     /// Returns the fillers that were last told another pace than they may work at.
-    pub(super) fn paces_to_tell(&self) -> Vec<(RunRef, u32)> {
+    pub(super) fn speeds_to_send(&self) -> Vec<(RunRef, u32)> {
         let is_filler =
             |it: &&RunningTask| matches!(self.roles.get(&it.run), Some(TaskRole::Filler(_)));
         let is_told = |run: RunRef, percent: u32| {
             self.paces.get(&run).copied().unwrap_or(100) == percent
-                || self.pace_calls.values().any(|(it, _)| *it == run)
+                || self.throttle_calls.values().any(|(it, _)| *it == run)
         };
         let fillers = self.running.iter().filter(is_filler);
-        let paces = fillers.map(|it| (it.run, self.pacer.percent(it.run)));
+        let paces = fillers.map(|it| (it.run, self.throttler.percent(it.run)));
         paces.filter(|(run, percent)| !is_told(*run, *percent)).collect()
     }
 
     fn cost_percent(&self, serving: &CompactString, filler: &CompactString) -> f64 {
         let known = self.costs.get(&(serving.clone(), filler.clone()));
         let core = reference_cores(1_000, self.announcement.capacity.cpu_millicores);
-        known.copied().unwrap_or(UNKNOWN_PERCENT * core)
+        known.copied().unwrap_or(UNKNOWN_COST_PERCENT * core)
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -13,11 +13,13 @@
 
 use std::net::SocketAddr;
 
-use crate::{control::leader_finder::Finder, prelude::*};
+use crate::{control::leader_finder::LeaderFinder, prelude::*};
 
-pub use self::calls::{Action, Announcement, CallResult, Departure, Refused, Unusable, WorkerCall};
+pub use self::calls::{
+    Action, Announcement, AnnouncementRejection, CallResult, Departure, Refused, WorkerCall,
+};
 use self::{
-    unconfirmed::{Newcomer, Verdict},
+    unconfirmed::{UnconfirmedWorker, Verdict},
     worker::Lifetime,
 };
 
@@ -54,7 +56,7 @@
         result: CallResult,
     },
     /// Other control addresses, from changed settings.
-    Controls(Vec<SocketAddr>),
+    ControlAddresses(Vec<SocketAddr>),
     Tick,
     /// A planned stop.
     Stop,
@@ -72,17 +74,17 @@
         call: WorkerCall,
     },
     /// An announcement was passed over.
-    PassedOver(Unusable),
+    AnnouncementIgnored(AnnouncementRejection),
 }
 
 /// A node, without its I/O.
 pub struct NodeCore {
     options: NodeOptions,
-    finder: Finder,
+    leader_finder: LeaderFinder,
     term: u64,
     worker: Option<Lifetime>,
     /// A lifetime that announced itself and has not answered yet.
-    newcomer: Option<Newcomer>,
+    newcomer: Option<UnconfirmedWorker>,
     /// When the newest input came.
     handled_ms: u64,
     /// Token of the leader for looks at a worker that it does not know.
@@ -117,7 +119,7 @@
     /// Makes a node that knows neither its worker nor a leader.
     pub fn new(options: NodeOptions) -> NodeCore {
         NodeCore {
-            finder: Finder::new(options.controls.clone(), options.boot),
+            leader_finder: LeaderFinder::new(options.controls.clone(), options.boot),
             term: 0,
             worker: None,
             newcomer: None,
@@ -146,7 +148,7 @@
     /// Returns when the next [`Input::Tick`] is due.
     pub fn next_tick_ms(&self) -> u64 {
         let mut res = self.report_at_ms;
-        if let Some(it) = self.newcomer.as_ref().and_then(Newcomer::next_call_ms) {
+        if let Some(it) = self.newcomer.as_ref().and_then(UnconfirmedWorker::next_call_ms) {
             res = res.min(it);
         }
         if let Some(it) = self.worker.as_ref().filter(|it| self.may_call(it)) {
@@ -167,7 +169,7 @@
             Input::Left(it) => self.on_left(&it),
             Input::Message(it) => self.on_message(now, *it),
             Input::CallEnded { id, result } => self.on_call_ended(now, id, result),
-            Input::Controls(it) => self.finder.set_seeds(it),
+            Input::ControlAddresses(it) => self.leader_finder.set_seeds(it),
             Input::Tick | Input::Stop => (),
         }
         self.make_calls(now);
@@ -199,8 +201,10 @@
         }
         if !self.services.is_empty() && !self.services.contains(&it.service) {
             // Whoever wrote it, it must not take the place of the worker that is known.
-            tracing::warn!(event = "announcement_passed_over", worker = %lifetime, service = %it.service, cause = Unusable::ForeignService.as_str());
-            return self.effects.push(Effect::PassedOver(Unusable::ForeignService));
+            tracing::warn!(event = "announcement_passed_over", worker = %lifetime, service = %it.service, cause = AnnouncementRejection::UnknownService.as_str());
+            return self
+                .effects
+                .push(Effect::AnnouncementIgnored(AnnouncementRejection::UnknownService));
         }
         let known = self.worker.as_mut().filter(|known| known.name == lifetime);
         match (known, &mut self.newcomer) {
@@ -225,7 +229,7 @@
             }
             // One that was given up may have been out of reach only, or be another one that does not
             // tell its start.
-            _ => self.newcomer = Some(Newcomer::new(it, now)),
+            _ => self.newcomer = Some(UnconfirmedWorker::new(it, now)),
         }
     }
 
@@ -236,9 +240,9 @@
         // A worker that is passed over for good would write a line each second.
         if self.late.is_power_of_two() {
             let is_gone = self.worker.as_ref().is_some_and(|known| known.is_gone);
-            tracing::warn!(event = "announcement_passed_over", worker = %it.lifetime(), cause = Unusable::Late.as_str(), sequence = it.sequence, newest = ?newest, worker_clock_ms = it.clock_ms, in_a_row = self.late, is_gone);
+            tracing::warn!(event = "announcement_passed_over", worker = %it.lifetime(), cause = AnnouncementRejection::Late.as_str(), sequence = it.sequence, newest = ?newest, worker_clock_ms = it.clock_ms, in_a_row = self.late, is_gone);
         }
-        self.effects.push(Effect::PassedOver(Unusable::Late));
+        self.effects.push(Effect::AnnouncementIgnored(AnnouncementRejection::Late));
     }
 
     /// Takes in what came of a call of the newcomer.
@@ -255,7 +259,7 @@
             Verdict::Away => {
                 let lifetime = newcomer.announcement.lifetime();
                 tracing::info!(event = "announcement_passed_over", worker = %lifetime, cause = "not_there", sequence = newcomer.announcement.sequence);
-                self.effects.push(Effect::PassedOver(Unusable::Late));
+                self.effects.push(Effect::AnnouncementIgnored(AnnouncementRejection::Late));
                 self.newcomer = None;
             }
             Verdict::Heard if !doubtful.is_empty() => {
@@ -311,8 +315,8 @@
         match message {
             Message::NodeGrant(it) => self.on_grant(now, it),
             Message::NotLeader(hint) => {
-                let leader = self.finder.leader();
-                self.finder.set_leader(hint.filter(|it| Some(*it) != leader));
+                let leader = self.leader_finder.leader();
+                self.leader_finder.set_leader(hint.filter(|it| Some(*it) != leader));
                 self.report_at_ms =
                     now.mono_ms + if hint.is_some() { 0 } else { REDIRECT_PAUSE_MS };
             }
@@ -326,7 +330,7 @@
             return;
         }
         if self.term < it.term {
-            tracing::info!(event = "leader_found", term = it.term, leader = ?self.finder.target());
+            tracing::info!(event = "leader_found", term = it.term, leader = ?self.leader_finder.target());
             self.term = it.term;
             if let Some(worker) = &mut self.worker {
                 // The new leader needs the lists under its own term.
@@ -337,8 +341,8 @@
         self.granted_ms = now.mono_ms;
         self.services = it.services;
         self.unanswered_reports = 0;
-        self.finder.set_members(&it.members);
-        self.finder.set_leader(self.finder.target());
+        self.leader_finder.set_members(&it.members);
+        self.leader_finder.set_leader(self.leader_finder.target());
         if it.worker.is_empty() && self.look_token < it.token {
             self.look_token = it.token;
             self.newcomer.as_mut().into_iter().for_each(|newcomer| newcomer.look_again(now));
@@ -380,14 +384,14 @@
         // Reports of ends may follow each other within the time of a commit.
         let is_late = self.unanswered_since_ms + self.options.report_ms <= now.mono_ms;
         if SILENT_REPORTS <= self.unanswered_reports && is_late {
-            if let Some(it) = self.finder.leader() {
+            if let Some(it) = self.leader_finder.leader() {
                 tracing::warn!(event = "leader_silent", leader = %it, reports = self.unanswered_reports);
             }
-            self.finder.try_next();
+            self.leader_finder.try_next();
             self.unanswered_reports = 0;
         }
         self.is_dirty = false;
-        let Some(to) = self.finder.target() else { return };
+        let Some(to) = self.leader_finder.target() else { return };
         if self.unanswered_reports == 0 {
             self.unanswered_since_ms = now.mono_ms;
         }
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -94,7 +94,7 @@
     fn note_no_list(&mut self, now: Now, term: u64, retry_ms: u64, result: &CallResult) {
         self.hold_at_ms = now.mono_ms + retry_ms;
         match result {
-            CallResult::NoAnswer | CallResult::NobodyThere => (),
+            CallResult::NoAnswer | CallResult::ConnectionRefused => (),
             other => {
                 tracing::warn!(event = "hold_refused", worker = %self.name, term, outcome = ?other);
             }
@@ -119,12 +119,12 @@
         let is_fresh = self.stood_still_ms <= hold.sent_ms
             && now.mono_ms <= hold.sent_ms + hold.wait_ms + LIST_FRESH_MS;
         match result {
-            CallResult::Held { .. } | CallResult::HeldInPart { .. } if is_fresh => {
+            CallResult::Held { .. } | CallResult::PartialRunList { .. } if is_fresh => {
                 self.is_unsure = false;
                 self.listed_ms = now.mono_ms;
                 self.acked_told = self.acked_told.max(hold.acked_cursor);
             }
-            CallResult::NoAnswer | CallResult::NobodyThere => self.is_unsure = true,
+            CallResult::NoAnswer | CallResult::ConnectionRefused => self.is_unsure = true,
             _ => (),
         }
     }
@@ -139,7 +139,7 @@
     /// Forgets a call under way.
     fn forget_call(&mut self, id: u64) {
         self.hold.take_if(|it| it.call == id);
-        self.pace_calls.remove(&id);
+        self.throttle_calls.remove(&id);
         self.orders.values_mut().filter(|it| it.call == Some(id)).for_each(|it| it.call = None);
     }
 
@@ -254,13 +254,13 @@
             };
             let action = Action::Hold { lease_until_ms: lease, acked_cursor, wait_ms };
             let call = call(action, &mut self.next_call);
-            let lapsed_if_past_ms = worker.told_until_ms.filter(|_| may_have_lapsed);
+            let lapsed_if_past_ms = worker.sent_lease_until_ms.filter(|_| may_have_lapsed);
             let sent_ms = now.mono_ms;
             worker.hold = Some(Hold { call, sent_ms, wait_ms, acked_cursor, lapsed_if_past_ms });
-            worker.told_until_ms = worker.told_until_ms.max(lease);
+            worker.sent_lease_until_ms = worker.sent_lease_until_ms.max(lease);
         }
         let is_unsure = worker.is_unsure;
-        let mut told_until_ms = worker.told_until_ms;
+        let mut sent_lease_until_ms = worker.sent_lease_until_ms;
         for (run, pending) in &mut worker.orders {
             if pending.call.is_some() || now.mono_ms < pending.next_ms {
                 continue;
@@ -273,7 +273,7 @@
                 }
                 (Order::Stop { .. }, _) => Action::Stop { run: *run },
                 (Order::Start { payload, checkpoint, .. }, Some(lease_until_ms)) => {
-                    told_until_ms = told_until_ms.max(Some(lease_until_ms));
+                    sent_lease_until_ms = sent_lease_until_ms.max(Some(lease_until_ms));
                     Action::Start {
                         run: *run,
                         payload: payload.clone(),
@@ -290,10 +290,10 @@
             pending.attempts += 1;
             pending.call = Some(call(action, &mut self.next_call));
         }
-        worker.told_until_ms = told_until_ms;
-        for (run, percent) in worker.paces_to_tell() {
+        worker.sent_lease_until_ms = sent_lease_until_ms;
+        for (run, percent) in worker.speeds_to_send() {
             let id = call(Action::Pace { run, percent }, &mut self.next_call);
-            worker.pace_calls.insert(id, (run, percent));
+            worker.throttle_calls.insert(id, (run, percent));
         }
         let (worker, token) = (worker.announcement.id.clone(), worker.token);
         for (id, action) in calls {
@@ -316,10 +316,10 @@
         }
         match &result {
             CallResult::Held { clock_ms, .. }
-            | CallResult::HeldInPart { clock_ms, .. }
+            | CallResult::PartialRunList { clock_ms, .. }
             | CallResult::Done { clock_ms }
             | CallResult::Refused { clock_ms, .. } => worker.hear(*clock_ms, now),
-            CallResult::NobodyThere => {
+            CallResult::ConnectionRefused => {
                 let since_ms = *worker.missing_since_ms.get_or_insert(now.mono_ms);
                 if since_ms + GONE_AFTER_MS <= now.mono_ms && !worker.is_gone {
                     tracing::warn!(event = "worker_gone", worker = %worker.name, cause = "nobody_listens", missing_ms = now.mono_ms - since_ms);
@@ -333,7 +333,7 @@
         if let Some(hold) = worker.hold.filter(|it| it.call == id) {
             return self.on_hold_ended(now, hold, result);
         }
-        if let Some((run, percent)) = worker.pace_calls.remove(&id) {
+        if let Some((run, percent)) = worker.throttle_calls.remove(&id) {
             if matches!(result, CallResult::Done { .. }) {
                 worker.paces.insert(run, percent);
             }
@@ -349,7 +349,8 @@
     }
 
     fn on_late_result(&mut self, now: Now, result: CallResult) {
-        let (CallResult::Held { ended, .. } | CallResult::HeldInPart { ended, .. }) = result else {
+        let (CallResult::Held { ended, .. } | CallResult::PartialRunList { ended, .. }) = result
+        else {
             return;
         };
         if let Some(worker) = &mut self.worker {
@@ -366,11 +367,13 @@
         let Some(worker) = &mut self.worker else { return };
         worker.hold = None;
         worker.note_look(hold, &result, now);
-        let tells_start = |born_ms: Option<u64>| born_ms == worker.announcement.born_ms;
+        let tells_start =
+            |started_unix_ms: Option<u64>| started_unix_ms == worker.announcement.started_unix_ms;
         let (clock_ms, running, ended, is_whole) = match result {
             // Whose list it is cannot be told.
-            CallResult::Held { born_ms, .. } | CallResult::HeldInPart { born_ms, .. }
-                if !tells_start(born_ms) =>
+            CallResult::Held { started_unix_ms, .. }
+            | CallResult::PartialRunList { started_unix_ms, .. }
+                if !tells_start(started_unix_ms) =>
             {
                 tracing::warn!(event = "list_passed_over", worker = %worker.name, cause = "no_start");
                 worker.hold_at_ms = now.mono_ms + self.options.retry_ms;
@@ -380,17 +383,17 @@
                 worker.gaps = 0;
                 (clock_ms, running, ended, true)
             }
-            CallResult::HeldInPart {
+            CallResult::PartialRunList {
                 clock_ms,
                 running,
                 mut ended,
-                ended_later,
+                ended_after_unreadable,
                 unreadable,
                 ..
             } => {
                 let is_whole = 0 < unreadable && worker.judge_gap(unreadable);
                 if is_whole {
-                    ended.extend(ended_later);
+                    ended.extend(ended_after_unreadable);
                 }
                 (clock_ms, running, ended, is_whole)
             }
@@ -438,7 +441,7 @@
                     worker.running.push(task);
                     worker.begun.insert(run, self.next_call);
                     worker.begin_usage(run, now);
-                    worker.pace_newcomer(now);
+                    worker.throttle_started_filler(now);
                 }
             }
             CallResult::Done { .. } => {
--- a/src/node/unconfirmed.rs
+++ b/src/node/unconfirmed.rs
@@ -15,7 +15,7 @@
 
 /// A lifetime that is not known yet.
 #[derive(Debug)]
-pub(super) struct Newcomer {
+pub(super) struct UnconfirmedWorker {
     pub announcement: Announcement,
     announced_ms: u64,
     stage: Stage,
@@ -51,10 +51,10 @@
     Ready,
 }
 
-impl Newcomer {
-    pub(super) fn new(announcement: Announcement, now: Now) -> Newcomer {
+impl UnconfirmedWorker {
+    pub(super) fn new(announcement: Announcement, now: Now) -> UnconfirmedWorker {
         let (announced_ms, next_ms) = (now.mono_ms, now.mono_ms);
-        Newcomer { announcement, announced_ms, stage: Stage::Unheard, call: None, next_ms }
+        UnconfirmedWorker { announcement, announced_ms, stage: Stage::Unheard, call: None, next_ms }
     }
 
     /// Takes in an announcement of the same lifetime.
@@ -110,17 +110,21 @@
         self.call = None;
         let verdict = match (&mut self.stage, result) {
             (_, CallResult::OtherLifetime) => Verdict::Away,
-            (_, CallResult::Held { born_ms, .. } | CallResult::HeldInPart { born_ms, .. })
-                if born_ms.is_some() && *born_ms != self.announcement.born_ms =>
+            (
+                _,
+                CallResult::Held { started_unix_ms, .. }
+                | CallResult::PartialRunList { started_unix_ms, .. },
+            ) if started_unix_ms.is_some()
+                && *started_unix_ms != self.announcement.started_unix_ms =>
             {
                 Verdict::Away
             }
-            (_, CallResult::Held { born_ms, .. } | CallResult::HeldInPart { born_ms, .. })
-                if *born_ms != self.announcement.born_ms =>
-            {
-                Verdict::Unclear
-            }
-            (Stage::Unheard, CallResult::Held { .. } | CallResult::HeldInPart { .. }) => {
+            (
+                _,
+                CallResult::Held { started_unix_ms, .. }
+                | CallResult::PartialRunList { started_unix_ms, .. },
+            ) if *started_unix_ms != self.announcement.started_unix_ms => Verdict::Unclear,
+            (Stage::Unheard, CallResult::Held { .. } | CallResult::PartialRunList { .. }) => {
                 Verdict::Heard
             }
             // A call that names another id is not answered like this.
--- a/src/node/worker.rs
+++ b/src/node/worker.rs
@@ -7,7 +7,7 @@
         calls::{Announcement, CallResult},
         unconfirmed::LATE_ORDER_MAX_MS,
     },
-    policy::throttling::{Pacer, Usage},
+    policy::throttling::{Throttler, Usage},
     prelude::*,
 };
 
@@ -92,7 +92,7 @@
     /// Highest cursor of a failure that was listed: the leader waits to hear that it is noted.
     pub failure_cursor: u64,
     /// End of the longest lease told to the worker, by its clock, if this process told it one.
-    pub told_until_ms: Option<u64>,
+    pub sent_lease_until_ms: Option<u64>,
     /// Token for calls, from the newest grant, and its place among the grants with this token.
     pub token: u64,
     pub grant_sequence: u64,
@@ -100,14 +100,14 @@
     pub orders: BTreeMap<RunRef, Pending>,
     pub refused: BTreeMap<RunRef, RefusalCause>,
     pub roles: HashMap<RunRef, TaskRole>,
-    pub pacer: Pacer,
+    pub throttler: Throttler,
     /// What fillers use, over the time that tails are read in; those that have just ended too.
     pub usages: HashMap<RunRef, Used>,
     /// What a core of a filler takes from a serving task, by their images.
     pub costs: HashMap<(CompactString, CompactString), f64>,
     /// Share that each filler was last told, and the call that tells it.
     pub paces: HashMap<RunRef, u32>,
-    pub pace_calls: HashMap<u64, (RunRef, u32)>,
+    pub throttle_calls: HashMap<u64, (RunRef, u32)>,
     /// The look at the worker's lists that is under way.
     pub hold: Option<Hold>,
     pub hold_at_ms: u64,
@@ -150,18 +150,18 @@
             acked_told: 0,
             noted: NotedEnds::NONE,
             failure_cursor: 0,
-            told_until_ms: None,
+            sent_lease_until_ms: None,
             token: 0,
             grant_sequence: 0,
             lease_until_ms: 0,
             orders: BTreeMap::new(),
             refused: BTreeMap::new(),
             roles: HashMap::new(),
-            pacer: Pacer::new(harm_max_ms),
+            throttler: Throttler::new(harm_max_ms),
             usages: HashMap::new(),
             costs: HashMap::new(),
             paces: HashMap::new(),
-            pace_calls: HashMap::new(),
+            throttle_calls: HashMap::new(),
             hold: None,
             hold_at_ms: now.mono_ms,
             gaps: 0,
@@ -184,8 +184,9 @@
     pub(super) fn is_anothers(&self, result: &CallResult) -> bool {
         match result {
             CallResult::OtherLifetime => true,
-            CallResult::Held { born_ms, .. } | CallResult::HeldInPart { born_ms, .. } => {
-                born_ms.is_some() && *born_ms != self.announcement.born_ms
+            CallResult::Held { started_unix_ms, .. }
+            | CallResult::PartialRunList { started_unix_ms, .. } => {
+                started_unix_ms.is_some() && *started_unix_ms != self.announcement.started_unix_ms
             }
             _ => false,
         }
@@ -237,7 +238,7 @@
     /// never faster by more than a reading takes.
     pub(super) fn may_have_lapsed(&self, now: Now) -> bool {
         let most_clock_ms = self.clock.clock_ms + (now.mono_ms - self.clock.at_ms);
-        self.told_until_ms.is_some_and(|it| it < most_clock_ms)
+        self.sent_lease_until_ms.is_some_and(|it| it < most_clock_ms)
     }
 
     /// Takes in what a list tells of ends that were taken note of; returns whether the leader waits
--- a/src/policy/contention/headroom_filter.rs
+++ b/src/policy/contention/headroom_filter.rs
@@ -12,10 +12,10 @@
 
 /// What a core of a pair not seen yet is taken to cost, in percent of headroom: on the users' VMs
 /// some two in three pairs cost about 1 and the others 8 to 20.
-pub const UNKNOWN_PERCENT: f64 = 4.0;
+pub const UNKNOWN_COST_PERCENT: f64 = 4.0;
 
 /// How far a pair may lie from that (standard deviation): the spread of those two kinds.
-pub(super) const UNKNOWN_DEVIATION_PERCENT: f64 = 5.0;
+pub(super) const UNKNOWN_COST_DEVIATION_PERCENT: f64 = 5.0;
 
 /// How far a cost may be off that an earlier leader had learned (standard deviation).
 const KNOWN_DEVIATION_PERCENT: f64 = 2.0;
@@ -39,7 +39,7 @@
 const SLOPE_DEVIATION_MAX_PERCENT: f64 = 60.0;
 
 /// Headroom without fillers of a step not seen yet: between idle and the bound.
-pub(super) const UNKNOWN_REST_PERCENT: f64 = 250.0;
+pub(super) const UNKNOWN_IDLE_HEADROOM_PERCENT: f64 = 250.0;
 
 /// How far that may be off (standard deviation): from idle to the bound.
 const UNKNOWN_REST_DEVIATION_PERCENT: f64 = 150.0;
@@ -105,7 +105,7 @@
         let (wander, most) = match self {
             Quantity::Level(_) => (LEVEL_WANDER_PERCENT, UNKNOWN_REST_DEVIATION_PERCENT),
             Quantity::Slope(_) => (SLOPE_WANDER_PERCENT, SLOPE_DEVIATION_MAX_PERCENT),
-            Quantity::Cost(_) => (WANDER_PERCENT, UNKNOWN_DEVIATION_PERCENT),
+            Quantity::Cost(_) => (WANDER_PERCENT, UNKNOWN_COST_DEVIATION_PERCENT),
         };
         (wander * wander, most * most)
     }
@@ -170,10 +170,10 @@
     /// Returns what readings tell of an image, without what was taken for likely before.
     pub(super) fn evidence(&self, image: ImageKey) -> Option<Evidence> {
         let at = self.find(Quantity::Cost(image))?;
-        let unknown = UNKNOWN_DEVIATION_PERCENT * UNKNOWN_DEVIATION_PERCENT;
+        let unknown = UNKNOWN_COST_DEVIATION_PERCENT * UNKNOWN_COST_DEVIATION_PERCENT;
         let variance = self.covariances[at][at];
         let precision = 1.0 / variance - 1.0 / unknown;
-        let mean = (self.means[at] / variance - UNKNOWN_PERCENT / unknown) / precision;
+        let mean = (self.means[at] / variance - UNKNOWN_COST_PERCENT / unknown) / precision;
         (EVIDENCE_MIN <= precision).then_some(Evidence { mean, variance: 1.0 / precision })
     }
 
@@ -186,13 +186,13 @@
     /// Takes in a reading.
     pub(super) fn observe(&mut self, it: &Reading<'_>, now_ms: u64) {
         self.age(now_ms);
-        let level = it.headroom_percent.max(UNKNOWN_REST_PERCENT);
+        let level = it.headroom_percent.max(UNKNOWN_IDLE_HEADROOM_PERCENT);
         let (group, unsure) = (it.group, UNKNOWN_REST_DEVIATION_PERCENT);
         self.place_of(Quantity::Level(group), level, unsure, now_ms);
         self.place_of(Quantity::Slope(group), 0.0, SLOPE_DEVIATION_PERCENT, now_ms);
         for filler in it.fillers {
             let cost = Quantity::Cost(filler.image);
-            self.place_of(cost, UNKNOWN_PERCENT, UNKNOWN_DEVIATION_PERCENT, now_ms);
+            self.place_of(cost, UNKNOWN_COST_PERCENT, UNKNOWN_COST_DEVIATION_PERCENT, now_ms);
         }
         let weights = self.weights(it);
         self.correct(&weights, it.headroom_percent, it.noise);
--- a/src/policy/contention/mod.rs
+++ b/src/policy/contention/mod.rs
@@ -21,9 +21,9 @@
 
 use crate::prelude::*;
 
-pub use self::headroom_filter::UNKNOWN_PERCENT;
+pub use self::headroom_filter::UNKNOWN_COST_PERCENT;
 use self::{
-    headroom_filter::{Filter, Reading, UNKNOWN_REST_PERCENT},
+    headroom_filter::{Filter, Reading, UNKNOWN_IDLE_HEADROOM_PERCENT},
     images::{ImageKey, Images},
     similarity::{Estimates, Readings},
 };
@@ -48,7 +48,7 @@
 const ROUGH_MIN_PERCENT: f64 = 5.0;
 
 /// Share of what they reserve that serving tasks use in the mean on the users' VMs.
-pub const MEAN_USE_SHARE: f64 = 0.45;
+pub const MEAN_CPU_USE_SHARE: f64 = 0.45;
 
 /// Headroom is cut at this: a service that is idle says little of one at work.
 const HEADROOM_MAX_PERCENT: f64 = 1_000.0;
@@ -108,7 +108,7 @@
 
 /// What is known of images beside each other.
 #[derive(Clone, Debug, Default)]
-pub struct Harm {
+pub struct ContentionModel {
     images: Images,
     read: HashMap<RunRef, LastRead>,
     /// By image of the serving task.
@@ -118,10 +118,10 @@
     compared_ms: u64,
 }
 
-impl Harm {
+impl ContentionModel {
     /// Takes over what an earlier leader had learned.
-    pub fn with_known(costs: &[ImageCost], now_ms: u64) -> Harm {
-        let mut res = Harm::default();
+    pub fn with_known_costs(costs: &[ImageCost], now_ms: u64) -> ContentionModel {
+        let mut res = ContentionModel::default();
         for it in costs {
             let (serving, filler) = (res.image(&it.serving), res.image(&it.filler));
             let own = res.filters.entry(serving).or_default();
@@ -164,7 +164,7 @@
         let told = self.estimates.get(serving, filler);
         let read = || self.read_cost_percent(serving, filler);
         let mean = || self.estimates.mean_percent(filler);
-        told.or_else(read).or_else(mean).unwrap_or(UNKNOWN_PERCENT)
+        told.or_else(read).or_else(mean).unwrap_or(UNKNOWN_COST_PERCENT)
     }
 
     /// Returns the same by readings of this pair alone, if there are any.
@@ -176,14 +176,14 @@
     /// beside them.
     pub fn rest_percent(&self, serving: ImageKey, group: StepRef) -> f64 {
         let filter = self.filters.get(&serving);
-        filter.and_then(|it| it.level_percent(group)).unwrap_or(UNKNOWN_REST_PERCENT)
+        filter.and_then(|it| it.level_percent(group)).unwrap_or(UNKNOWN_IDLE_HEADROOM_PERCENT)
     }
 
     /// Returns the share of what it reserves that a step uses by its headroom, or what serving
     /// tasks use in the mean where that is not known.
     pub fn use_share(&self, serving: ImageKey, group: StepRef) -> f64 {
         let filter = self.filters.get(&serving);
-        filter.and_then(|it| it.use_share(group)).unwrap_or(MEAN_USE_SHARE)
+        filter.and_then(|it| it.use_share(group)).unwrap_or(MEAN_CPU_USE_SHARE)
     }
 
     /// Returns what `fillers` take from `serving` together, in percent of headroom.
--- a/src/policy/contention/similarity.rs
+++ b/src/policy/contention/similarity.rs
@@ -7,7 +7,7 @@
 //! none agrees, what remains is the pair's own readings and the cost of an unknown pair.
 
 use crate::policy::contention::{
-    headroom_filter::{UNKNOWN_DEVIATION_PERCENT, UNKNOWN_PERCENT},
+    headroom_filter::{UNKNOWN_COST_DEVIATION_PERCENT, UNKNOWN_COST_PERCENT},
     images::ImageKey,
 };
 
@@ -19,7 +19,7 @@
 const ALIKE_PART: f64 = 0.25;
 
 /// The same of images that have nothing to do with each other: what an unknown pair may be off.
-const UNLIKE_VARIANCE: f64 = UNKNOWN_DEVIATION_PERCENT * UNKNOWN_DEVIATION_PERCENT;
+const UNLIKE_VARIANCE: f64 = UNKNOWN_COST_DEVIATION_PERCENT * UNKNOWN_COST_DEVIATION_PERCENT;
 
 /// A cost as readings of its own pair tell it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -60,7 +60,7 @@
         let costs_percent = costs_percent(&readings);
         let mean = |column: usize| {
             let sum: f64 = costs_percent.iter().map(|row| row[column]).sum();
-            (UNKNOWN_PERCENT + sum) / (1.0 + costs_percent.len() as f64)
+            (UNKNOWN_COST_PERCENT + sum) / (1.0 + costs_percent.len() as f64)
         };
         Estimates {
             rows: places(&readings.serving),
@@ -162,7 +162,7 @@
 impl WeightedMean {
     fn unknown() -> WeightedMean {
         let precision = 1.0 / UNLIKE_VARIANCE;
-        WeightedMean { sum: UNKNOWN_PERCENT * precision, precision }
+        WeightedMean { sum: UNKNOWN_COST_PERCENT * precision, precision }
     }
 
     fn add(&mut self, it: Option<Evidence>, weight: f64, variance: f64) {
--- a/src/policy/crash_evidence.rs
+++ b/src/policy/crash_evidence.rs
@@ -11,7 +11,7 @@
 /// Time during which nothing else begins on a worker where a suspect begins, so that a crash tells
 /// who caused it. Tasks that crash their workers did so 10 ms after their start, and the loss was
 /// known 313 to 336 ms after they were placed: three times that, since nodes may be slow.
-pub const TRIAL_MS: u64 = 1_000;
+pub const PROBATION_MS: u64 = 1_000;
 
 /// Time after which a run is not suspected at all, which few kinds of work take.
 const OUTLIVED_MS: u64 = 10_000;
@@ -33,7 +33,7 @@
 
 /// Time without a crash that counts as a calm. Users allow that a workflow runs nowhere for some
 /// seconds after workers were lost.
-pub const CALM_MS: u64 = 4_000;
+pub const QUIET_PERIOD_MS: u64 = 4_000;
 
 /// Odds from which a task is given up: the share of harmless tasks that may be, inverted.
 const ODDS_MIN: f64 = 1_000.0;
@@ -62,7 +62,7 @@
 
 /// Time over which crashes are counted for the rate at which workers crash anyway. Shorter than
 /// the minutes over which faults of workers change, and long enough for a few of them.
-pub const RATE_WINDOW_MS: u64 = 20_000;
+pub const CRASH_RATE_WINDOW_MS: u64 = 20_000;
 
 /// How often workers crashed lately without the task in question.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -85,7 +85,7 @@
     /// Returns the rate at which one worker crashes by itself.
     fn rate_per_ms(self) -> f64 {
         // One more crash than was seen, since none seen does not mean that there are none.
-        (self.crashes + 1) as f64 / (self.workers.max(1) as f64 * RATE_WINDOW_MS as f64)
+        (self.crashes + 1) as f64 / (self.workers.max(1) as f64 * CRASH_RATE_WINDOW_MS as f64)
     }
 }
 
@@ -112,7 +112,7 @@
 
 /// What is held against a task: crashes of its workers in a row, none of which it outlived.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Suspicion {
+pub struct CrashEvidence {
     pub losses: u32,
     /// Runs since then that ended with a worker that fell silent: it may have crashed.
     silent: u32,
@@ -121,79 +121,79 @@
     age_ms: u64,
 }
 
-impl Default for Suspicion {
-    fn default() -> Suspicion {
-        Suspicion { losses: 0, silent: 0, odds: 1.0, age_ms: 0 }
+impl Default for CrashEvidence {
+    fn default() -> CrashEvidence {
+        CrashEvidence { losses: 0, silent: 0, odds: 1.0, age_ms: 0 }
     }
 }
 
-impl Suspicion {
+impl CrashEvidence {
     /// Returns what is held against the task after one more crash, seen at an age of its run.
-    pub fn after_crash(self, age_ms: u64, background: Background) -> Suspicion {
+    pub fn after_crash(self, age_ms: u64, background: Background) -> CrashEvidence {
         let losses = self.losses + 1;
         let before_ms = (0 < self.age_ms).then_some(self.age_ms);
-        let odds = match self.is_cleared_by(age_ms) {
+        let odds = match self.is_ruled_out_at_age(age_ms) {
             // An order that came late makes a young run look old, so that the count goes on.
             true => background.odds(age_ms, None),
             false => self.odds * background.odds(age_ms, before_ms),
         };
-        Suspicion { losses, odds, age_ms, ..self }
+        CrashEvidence { losses, odds, age_ms, ..self }
     }
 
     /// Returns what is held against the task after a crash that another task explains.
-    pub fn after_explained(self, age_ms: u64) -> Suspicion {
-        Suspicion { losses: self.losses + 1, age_ms, ..self }
+    pub fn after_explained_crash(self, age_ms: u64) -> CrashEvidence {
+        CrashEvidence { losses: self.losses + 1, age_ms, ..self }
     }
 
     /// Returns what is held against the task after a crash of a worker that was told to start it,
     /// and may have done so.
-    pub fn after_unseen(self) -> Suspicion {
-        Suspicion { losses: self.losses + 1, ..self }
+    pub fn after_unobserved_crash(self) -> CrashEvidence {
+        CrashEvidence { losses: self.losses + 1, ..self }
     }
 
     /// Returns what is held against the task after its worker fell silent.
-    pub fn after_silence(self) -> Suspicion {
-        Suspicion { silent: self.silent + 1, ..self }
+    pub fn after_silent_worker(self) -> CrashEvidence {
+        CrashEvidence { silent: self.silent + 1, ..self }
     }
 
     /// Returns whether a run that got so old unharmed has cleared the task.
-    pub fn is_cleared_by(self, age_ms: u64) -> bool {
-        is_outlived(age_ms) || 0 < self.age_ms && self.age_ms * CLEARED_TIMES <= age_ms
+    pub fn is_ruled_out_at_age(self, age_ms: u64) -> bool {
+        is_too_old_to_suspect(age_ms) || 0 < self.age_ms && self.age_ms * CLEARED_TIMES <= age_ms
     }
 
     /// Returns whether the task must begin where nothing else does.
     ///
     /// One crash that nobody saw it run at tells next to nothing: after a loss of power of all
     /// workers that is true of all tasks, and trials would let them begin one after the other.
-    pub fn needs_trial(self) -> bool {
+    pub fn needs_probation(self) -> bool {
         let was_seen = 0 < self.age_ms;
-        self.age_ms <= TRIAL_MS && (was_seen || LOSSES_MIN <= self.losses)
+        self.age_ms <= PROBATION_MS && (was_seen || LOSSES_MIN <= self.losses)
     }
 
     /// Returns whether the task must begin only while no workers crash.
-    pub fn needs_calm(self) -> bool {
+    pub fn needs_quiet_period(self) -> bool {
         LOSSES_CAREFUL <= self.losses + self.silent
     }
 
     /// Returns whether the task has most likely caused the crashes.
-    pub fn is_convicted(self) -> bool {
-        LOSSES_MIN <= self.losses && ODDS_MIN <= self.odds || self.is_at_limit()
+    pub fn is_culprit(self) -> bool {
+        LOSSES_MIN <= self.losses && ODDS_MIN <= self.odds || self.is_at_crash_limit()
     }
 
     /// Returns whether the task must not start again, whatever the odds.
-    pub fn is_at_limit(self) -> bool {
+    pub fn is_at_crash_limit(self) -> bool {
         LOSSES_MIN <= self.losses && LOSSES_MAX <= self.losses + self.silent
     }
 }
 
 /// Returns whether a run is too old to be suspected of the crash of its worker.
-pub fn is_outlived(age_ms: u64) -> bool {
+pub fn is_too_old_to_suspect(age_ms: u64) -> bool {
     OUTLIVED_MS <= age_ms
 }
 
 /// Returns the same for a run of which it is not known when it began, or whether its worker was
 /// there to the end: orders come up to 8 s late, a lease holds for some 4 s, and as long again control
 /// itself may have been away.
-pub fn is_outlived_at_least(age_ms: u64) -> bool {
+pub fn is_surely_too_old_to_suspect(age_ms: u64) -> bool {
     3 * OUTLIVED_MS <= age_ms
 }
--- a/src/policy/feedback.rs
+++ b/src/policy/feedback.rs
@@ -45,7 +45,7 @@
 pub struct Report {
     pub tail_ms: u64,
     /// The tail to expect if the throttled neighbour ran freely.
-    pub released_ms: u64,
+    pub unthrottled_tail_ms: u64,
     pub target_ms: u64,
     /// How old the report is.
     pub lag_ms: u64,
@@ -80,18 +80,18 @@
     }
 
     /// Takes back a move that the eviction budget did not allow.
-    pub fn keep_throttled(&mut self, task: TaskId) {
+    pub fn restore_throttled(&mut self, task: TaskId) {
         self.throttled = Some(task);
     }
 
     /// Takes in a report, and decides; `worst` is the neighbour estimated most harmful.
     pub fn observe(&mut self, now_ms: u64, report: Report, worst: Option<TaskId>) -> Action {
-        let Report { tail_ms, released_ms, target_ms, lag_ms } = report;
+        let Report { tail_ms, unthrottled_tail_ms, target_ms, lag_ms } = report;
         let above = target_ms < tail_ms;
         // A throttled neighbour is let go once its estimated harm would fit again, not only when
         // the tail is far below: it holds its processors meanwhile and uses a part of them.
         let below = match self.throttled {
-            Some(_) => released_ms * 1_000 < target_ms * RELEASE_PERMILLE,
+            Some(_) => unthrottled_tail_ms * 1_000 < target_ms * RELEASE_PERMILLE,
             None => tail_ms * 1_000 < target_ms * LOW_PERMILLE,
         };
         self.high = if above { self.high + 1 } else { 0 };
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -40,7 +40,7 @@
     }
 
     /// Returns the share, once it is known to be low.
-    pub fn slow_share(&self, now_ms: u64) -> Option<f64> {
+    pub fn speed_share_if_slow(&self, now_ms: u64) -> Option<f64> {
         let is_slow = self.share < SLOW && self.since_ms + WATCHED_MS <= now_ms;
         is_slow.then_some(self.share)
     }
@@ -48,21 +48,21 @@
 
 /// What is known of a run that could move.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Movable {
+pub struct MigrationCandidate {
     /// Time that it takes in all at full speed, by its declaration.
     pub estimate_ms: u64,
     pub progress_percent: u32,
     /// Whether what it has done moves with it.
     pub checkpoints: bool,
-    pub share_here: f64,
+    pub current_speed_share: f64,
 }
 
 /// Returns whether a run ends sooner by going on elsewhere at `share_there` of its speed.
-pub fn is_worth_moving(it: Movable, share_there: f64) -> bool {
+pub fn is_worth_moving(it: MigrationCandidate, share_there: f64) -> bool {
     let left_percent = 100_u32.saturating_sub(it.progress_percent).max(LEFT_MIN_PERCENT);
     let left = f64::from(left_percent) / 100.0;
     let whole_ms = it.estimate_ms.max(1) as f64;
-    let here_ms = whole_ms * left / it.share_here.max(SHARE_MIN);
+    let here_ms = whole_ms * left / it.current_speed_share.max(SHARE_MIN);
     let left_there = if it.checkpoints { left } else { 1.0 };
     let there_ms = MOVE_MS + whole_ms * left_there / share_there.max(SHARE_MIN);
     there_ms < here_ms * (1.0 - SAVED_MIN)
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -29,7 +29,7 @@
 
 /// How a task's place is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Aim {
+pub enum PlacementStrategy {
     /// The tightest fit.
     Pack,
     /// The emptiest, away from the other tasks of its job.
@@ -74,7 +74,7 @@
     }
 
     /// Returns the VM with the most free processors.
-    pub fn roomiest(&self) -> Option<VmId> {
+    pub fn vm_with_most_free_cpu(&self) -> Option<VmId> {
         self.by_cpu.last().map(|(_, vm)| *vm)
     }
 
@@ -96,15 +96,20 @@
     }
 
     /// Chooses a VM for a task, or none where it fits nowhere among those looked at.
-    pub fn choose(&self, need: Resources, aim: Aim, cost: &impl Cost) -> Option<VmId> {
+    pub fn choose(
+        &self,
+        need: Resources,
+        aim: PlacementStrategy,
+        cost: &impl Cost,
+    ) -> Option<VmId> {
         let range = (need.cpu_millicores, VmId(0))..;
         let fitting = |vm: &VmId| self.rooms.get(vm).is_some_and(|it| fits(need, it.free));
         let candidates: Vec<VmId> = match aim {
-            Aim::Pack => {
+            PlacementStrategy::Pack => {
                 let looked_at = self.by_cpu.range(range).take(LOOKED_AT_MAX);
                 looked_at.map(|(_, vm)| *vm).filter(fitting).take(CANDIDATES).collect()
             }
-            Aim::Spread => {
+            PlacementStrategy::Spread => {
                 // Zones differ in which of their VMs are empty; a longer look finds several zones.
                 let looked_at = self.by_cpu.range(range).rev().take(LOOKED_AT_MAX);
                 looked_at.map(|(_, vm)| *vm).filter(fitting).collect()
@@ -114,7 +119,12 @@
     }
 
     /// The naive twin of [`Index::choose`]: compares every VM.
-    pub fn choose_by_scan(&self, need: Resources, aim: Aim, cost: &impl Cost) -> Option<VmId> {
+    pub fn choose_by_scan(
+        &self,
+        need: Resources,
+        aim: PlacementStrategy,
+        cost: &impl Cost,
+    ) -> Option<VmId> {
         let fitting = self.rooms.iter().filter(|(_, it)| fits(need, it.free)).map(|(id, _)| *id);
         self.best_of(fitting, need, aim, cost)
     }
@@ -123,7 +133,7 @@
         &self,
         candidates: impl Iterator<Item = VmId>,
         need: Resources,
-        aim: Aim,
+        aim: PlacementStrategy,
         cost: &impl Cost,
     ) -> Option<VmId> {
         let score = |vm: VmId| -> Option<(u32, u32, f64, u32)> {
@@ -131,8 +141,8 @@
             let left = room.free.cpu_millicores - need.cpu_millicores;
             let harm = Some(cost.interference(vm)).filter(|it| it.is_finite())?;
             Some(match aim {
-                Aim::Pack => (0, 0, harm, left),
-                Aim::Spread => {
+                PlacementStrategy::Pack => (0, 0, harm, left),
+                PlacementStrategy::Spread => {
                     let (zone, rack) = cost.neighbours(room);
                     (zone, rack, harm, u32::MAX - left)
                 }
--- a/src/policy/routing.rs
+++ b/src/policy/routing.rs
@@ -64,14 +64,14 @@
 
 /// A moving estimate of an answer time.
 #[derive(Clone, Copy, Debug)]
-pub struct AnswerTime {
+pub struct AnswerTimeEstimate {
     mean_ms: f64,
 }
 
-impl AnswerTime {
+impl AnswerTimeEstimate {
     /// Makes an estimate that starts at `guess_ms`.
-    pub fn new(guess_ms: f64) -> AnswerTime {
-        AnswerTime { mean_ms: guess_ms }
+    pub fn new(guess_ms: f64) -> AnswerTimeEstimate {
+        AnswerTimeEstimate { mean_ms: guess_ms }
     }
 
     /// Learns an answer time; slower ones count at once, faster ones slowly.
--- a/src/policy/run_times.rs
+++ b/src/policy/run_times.rs
@@ -24,11 +24,11 @@
 
 /// Ratios of actual to declared run times, by team and kind.
 #[derive(Clone, Debug, Default)]
-pub struct RunTimes {
+pub struct RunTimeEstimates {
     histories: HashMap<(CompactString, CompactString), History>,
 }
 
-impl RunTimes {
+impl RunTimeEstimates {
     /// Learns that a task declared at `declared_ms` ran for `run_ms`.
     pub fn observe(&mut self, team: &str, kind: &str, declared_ms: u64, run_ms: u64) {
         let key = (CompactString::from(team), CompactString::from(kind));
@@ -53,14 +53,14 @@
     /// Returns the run time to expect of a task declared at `declared_ms`.
     ///
     /// ```
-    /// use aspenrail::policy::run_times::RunTimes;
+    /// use aspenrail::policy::run_times::RunTimeEstimates;
     ///
-    /// let mut times = RunTimes::default();
-    /// assert_eq!(times.expect_ms("team", "kind", 1_000), 1_000);
+    /// let mut times = RunTimeEstimates::default();
+    /// assert_eq!(times.expected_run_ms("team", "kind", 1_000), 1_000);
     /// times.observe("team", "kind", 1_000, 10_000);
-    /// assert!(1_000 < times.expect_ms("team", "kind", 1_000));
+    /// assert!(1_000 < times.expected_run_ms("team", "kind", 1_000));
     /// ```
-    pub fn expect_ms(&self, team: &str, kind: &str, declared_ms: u64) -> u64 {
+    pub fn expected_run_ms(&self, team: &str, kind: &str, declared_ms: u64) -> u64 {
         let ratio =
             self.histories.get(&(team.into(), kind.into())).map_or(1.0, |it| it.log_ratio.exp());
         ((declared_ms.max(1) as f64 * ratio) as u64).max(1)
--- a/src/policy/task_queue.rs
+++ b/src/policy/task_queue.rs
@@ -126,7 +126,7 @@
     }
 
     /// Counts a task of the team as running, or no longer.
-    pub fn note_running(&mut self, team: &str, need: Resources, runs: Runs) {
+    pub fn record_run_change(&mut self, team: &str, need: Resources, runs: Runs) {
         let running = &mut self.teams.entry(team.into()).or_default().running;
         match runs {
             Runs::Starts => running.add(need),
--- a/src/policy/throttling.rs
+++ b/src/policy/throttling.rs
@@ -46,7 +46,7 @@
 
 /// What a filler at full speed may take from a task without ever being slowed for it: less than
 /// a single reading shows.
-pub const NEGLIGIBLE_PERCENT: f64 = 10.0;
+pub const NEGLIGIBLE_COST_PERCENT: f64 = 10.0;
 
 /// Part of the time for which harm may last after which those fillers stand still that take from
 /// the task. What a halt leads to shows half a second later.
@@ -70,7 +70,7 @@
 pub struct FillerReading {
     pub run: RunRef,
     /// Processor that it uses at full speed, and did use.
-    pub need_cores: f64,
+    pub full_speed_cores: f64,
     pub used_cores: f64,
     /// What a core of it takes from each of the serving tasks, in their order.
     pub costs_percent: Vec<f64>,
@@ -124,7 +124,7 @@
 impl FillerReading {
     /// Returns what it takes from a serving task at full speed.
     fn taken_percent(&self, at: usize) -> f64 {
-        self.costs_percent[at] * self.need_cores
+        self.costs_percent[at] * self.full_speed_cores
     }
 }
 
@@ -166,7 +166,7 @@
 
 /// The paces of the fillers on one worker.
 #[derive(Clone, Debug)]
-pub struct Pacer {
+pub struct Throttler {
     /// Time for which fillers may keep a serving task over its bound.
     harm_max_ms: u64,
     tracks: HashMap<RunRef, Track>,
@@ -174,10 +174,10 @@
     halted_until_ms: u64,
 }
 
-impl Pacer {
+impl Throttler {
     /// Makes a pacer of fillers that may do harm for `harm_max_ms` on end.
-    pub fn new(harm_max_ms: u64) -> Pacer {
-        Pacer { harm_max_ms, tracks: HashMap::new(), paces: HashMap::new(), halted_until_ms: 0 }
+    pub fn new(harm_max_ms: u64) -> Throttler {
+        Throttler { harm_max_ms, tracks: HashMap::new(), paces: HashMap::new(), halted_until_ms: 0 }
     }
 
     /// Returns the share of its speed at which a filler may work.
@@ -194,11 +194,11 @@
             let track = self.tracks.entry(it.run).or_insert(first);
             track.observe(it.headroom_percent, taken, now_ms);
         }
-        self.share_out(serving, fillers, now_ms);
+        self.reallocate(serving, fillers, now_ms);
     }
 
     /// Shares out anew what the last reading left, as when a filler has begun since.
-    pub fn share_out(
+    pub fn reallocate(
         &mut self,
         serving: &[ServingReading],
         fillers: &[FillerReading],
@@ -217,7 +217,7 @@
         let over_max_ms = self.harm_max_ms / OVER_PART;
         let mut paces = paces_within(&rooms, fillers);
         for (at, _) in serving.iter().enumerate().filter(|(_, it)| over_max_ms <= over_ms(it)) {
-            let takes = |it: &FillerReading| NEGLIGIBLE_PERCENT < it.taken_percent(at);
+            let takes = |it: &FillerReading| NEGLIGIBLE_COST_PERCENT < it.taken_percent(at);
             let taking = fillers.iter().zip(&mut paces).filter(|(it, _)| takes(it));
             taking.for_each(|(_, pace)| *pace = 0.0);
         }
@@ -236,7 +236,8 @@
         let before = self.percent(it.run);
         let wanted = (wanted * 100.0) as u32 / GRAIN_PERCENT * GRAIN_PERCENT;
         let is_known = self.paces.contains_key(&it.run);
-        let takes = (0..it.costs_percent.len()).any(|at| NEGLIGIBLE_PERCENT < it.taken_percent(at));
+        let takes =
+            (0..it.costs_percent.len()).any(|at| NEGLIGIBLE_COST_PERCENT < it.taken_percent(at));
         match is_known && takes {
             true => wanted.min(before + RAISE_PERCENT),
             false => wanted,
@@ -265,7 +266,7 @@
             if excess <= 0.0 {
                 break;
             }
-            if cost <= NEGLIGIBLE_PERCENT {
+            if cost <= NEGLIGIBLE_COST_PERCENT {
                 continue;
             }
             let cut = paces[index].min(excess / cost);
--- a/src/policy/urgency.rs
+++ b/src/policy/urgency.rs
@@ -9,9 +9,9 @@
     /// 0 comes first.
     pub priority: u32,
     /// It runs until it is cancelled, and earns for every moment that it is at work.
-    pub is_lasting: bool,
+    pub is_long_running: bool,
     /// When the workflow's objective is over.
-    pub due_by_ms: u64,
+    pub objective_deadline_ms: u64,
     /// Longest chain of run times from this step on.
     pub remaining_ms: u64,
     /// Processor time that the whole workflow still needs, by declared run times.
@@ -30,9 +30,9 @@
 /// Lasting tasks come first, then by priority; within one priority, what can still meet its
 /// objective comes before what cannot, least slack first.
 pub fn urgency(claim: Claim, now_ms: u64) -> Urgency {
-    let slack_ms = claim.due_by_ms as i64 - now_ms as i64 - claim.remaining_ms as i64;
-    let late = u32::from(slack_ms < 0 && !claim.is_lasting);
-    let class = match claim.is_lasting {
+    let slack_ms = claim.objective_deadline_ms as i64 - now_ms as i64 - claim.remaining_ms as i64;
+    let late = u32::from(slack_ms < 0 && !claim.is_long_running);
+    let class = match claim.is_long_running {
         true => 0,
         false => 1 + claim.priority * 2 + late,
     };
--- a/src/policy/worker_health.rs
+++ b/src/policy/worker_health.rs
@@ -26,22 +26,22 @@
 
 /// What is known of one worker.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Soundness {
+pub struct WorkerHealth {
     /// Workflows that failed here since something was last done.
     failed: Vec<WorkflowId>,
     pauses: u32,
     shunned_until_ms: u64,
 }
 
-impl Soundness {
+impl WorkerHealth {
     /// Returns whether the worker may get new work.
-    pub fn is_trusted(&self, now_ms: u64) -> bool {
+    pub fn is_healthy(&self, now_ms: u64) -> bool {
         self.shunned_until_ms <= now_ms
     }
 
     /// Learns that a run was done.
     pub fn note_done(&mut self) {
-        *self = Soundness::default();
+        *self = WorkerHealth::default();
     }
 
     /// Learns that a run of a workflow failed; returns whether that ends the trust.
@@ -61,7 +61,7 @@
 
     /// Learns that a run stood still, which no task does by itself.
     pub fn note_stalled(&mut self, now_ms: u64) {
-        if self.is_trusted(now_ms) {
+        if self.is_healthy(now_ms) {
             self.shun(now_ms);
         }
     }
--- a/src/runtime/adapters.rs
+++ b/src/runtime/adapters.rs
@@ -133,7 +133,7 @@
 }
 
 /// Answers a request of an edge, and counts a refusal.
-fn answer(pending: &Pending, metrics: &Metrics, token: u64, outcome: &control::state::Outcome) {
+fn answer(pending: &Pending, metrics: &Metrics, token: u64, outcome: &control::state::ReplyResult) {
     if let Err(it) = outcome {
         metrics.refused(it.kind);
     }
--- a/src/runtime/disk.rs
+++ b/src/runtime/disk.rs
@@ -191,7 +191,7 @@
                 }
             };
             tries += 1;
-            let written = disk.write_again(&self.writes);
+            let written = disk.retry_write(&self.writes);
             self.writes.drain(..disk.written());
             let Err(report) = written else { break };
             if is_over || REFUSED_MAX < began.elapsed() {
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -15,5 +15,5 @@
 pub use self::{
     process::{Ending, Event, Process, ProcessHandle},
     signals::{forward_signals, forward_signals_to},
-    single_threaded::{Platform, SingleHandle, SingleProcess},
+    single_threaded::{Platform, SingleThreadedHandle, SingleThreadedProcess},
 };
--- a/src/runtime/process.rs
+++ b/src/runtime/process.rs
@@ -61,7 +61,7 @@
     Control(Box<control::Input>),
     Persisted(u64),
     DiskFull(bool),
-    DiskRefuses(bool),
+    DiskWritesRefused(bool),
     DiskFailed(error_stack::Report<Error>),
     /// A planned stop.
     Stop,
@@ -142,7 +142,7 @@
     }
 
     fn refusal_changed(&self, refuses: bool) {
-        let _ = self.send(Event::DiskRefuses(refuses));
+        let _ = self.send(Event::DiskWritesRefused(refuses));
     }
 
     fn failed(&self, report: error_stack::Report<Error>) {
@@ -361,7 +361,7 @@
 
 struct OpenDisk {
     disk: Disk,
-    recovered: control::log::Recovered,
+    recovered: control::log::RecoveredState,
     identity: Identity,
 }
 
@@ -379,7 +379,7 @@
             Event::Control(it) => self.to_control(*it),
             Event::Persisted(number) => self.to_control(control::Input::Persisted { number }),
             Event::DiskFull(it) => self.to_control(control::Input::DiskFull(it)),
-            Event::DiskRefuses(it) => self.to_control(control::Input::DiskRefuses(it)),
+            Event::DiskWritesRefused(it) => self.to_control(control::Input::DiskWritesRefused(it)),
             Event::DiskFailed(_) | Event::Stop | Event::Kill => (),
         }
     }
--- a/src/runtime/signals.rs
+++ b/src/runtime/signals.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     prelude::*,
-    runtime::{process::ProcessHandle, single_threaded::SingleHandle},
+    runtime::{process::ProcessHandle, single_threaded::SingleThreadedHandle},
 };
 
 /// Forwards SIGTERM and SIGINT to a process: the first begins a planned stop, the second ends
@@ -39,7 +39,7 @@
 /// # Errors
 ///
 /// Returns an error when the handler cannot be installed.
-pub fn forward_signals_to(handle: SingleHandle) -> Result<()> {
+pub fn forward_signals_to(handle: SingleThreadedHandle) -> Result<()> {
     let cannot = || Error::new(ErrorKind::Internal, "cannot handle signals");
     let mut signals =
         Signals::new([consts::SIGTERM, consts::SIGINT, consts::SIGHUP, consts::SIGXFSZ])
--- a/src/runtime/single_threaded/adapters.rs
+++ b/src/runtime/single_threaded/adapters.rs
@@ -20,7 +20,7 @@
     runtime::{
         disk::DiskWriter,
         role::Adapter,
-        single_threaded::{Event, Platform, SingleHandle},
+        single_threaded::{Event, Platform, SingleThreadedHandle},
     },
     util::Clock,
 };
@@ -94,7 +94,7 @@
     pub platform: P,
     pub pool: OutgoingPool,
     pub timeout_ms: u64,
-    pub handle: SingleHandle,
+    pub handle: SingleThreadedHandle,
     pub metrics: Arc<Metrics>,
 }
 
@@ -102,7 +102,9 @@
     fn carry(&mut self, effect: node::Effect, _in_force: Revision) {
         match effect {
             node::Effect::Send { to, message } => self.sending.send(to, message),
-            node::Effect::PassedOver(cause) => self.metrics.announcement_passed_over(cause),
+            node::Effect::AnnouncementIgnored(cause) => {
+                self.metrics.announcement_passed_over(cause)
+            }
             node::Effect::Call { id, call } => {
                 let (pool, platform) = (self.pool.clone(), self.platform.clone());
                 let (handle, timeout_ms) = (self.handle.clone(), self.timeout_ms);
--- a/src/runtime/single_threaded/mod.rs
+++ b/src/runtime/single_threaded/mod.rs
@@ -33,7 +33,7 @@
     },
     link::{Link, LinkEvent, LinkOptions, LinkSink},
     metrics::Metrics,
-    node::{self, CallResult, NodeCore, Unusable, WorkerCall},
+    node::{self, AnnouncementRejection, CallResult, NodeCore, WorkerCall},
     prelude::*,
     runtime::{
         disk::{DiskSink, DiskWriter},
@@ -94,7 +94,7 @@
     fn worker_request(
         &self,
         it: &HttpRequest,
-    ) -> Result<(node::Input, HttpAnswer), (Unusable, HttpAnswer)>;
+    ) -> Result<(node::Input, HttpAnswer), (AnnouncementRejection, HttpAnswer)>;
 
     /// Writes a call of a worker.
     fn worker_call(&self, it: &WorkerCall, timeout_ms: u64) -> HttpCall;
@@ -115,7 +115,7 @@
     Node(node::Input),
     Persisted(u64),
     DiskFull(bool),
-    DiskRefuses(bool),
+    DiskWritesRefused(bool),
     DiskFailed(error_stack::Report<Error>),
     Stop,
     Kill,
@@ -124,11 +124,11 @@
 
 /// Hands events to the thread of a process.
 #[derive(Clone, Debug)]
-pub struct SingleHandle {
+pub struct SingleThreadedHandle {
     events: mpsc::UnboundedSender<Event>,
 }
 
-impl SingleHandle {
+impl SingleThreadedHandle {
     // Sending fails only once the process has ended; there is nobody left to tell.
 
     /// Begins a planned stop.
@@ -151,13 +151,13 @@
     }
 }
 
-impl LinkSink for SingleHandle {
+impl LinkSink for SingleThreadedHandle {
     fn accept(&self, event: LinkEvent) {
         self.post(Event::Link(event));
     }
 }
 
-impl DiskSink for SingleHandle {
+impl DiskSink for SingleThreadedHandle {
     fn persisted(&self, number: u64) {
         self.post(Event::Persisted(number));
     }
@@ -167,7 +167,7 @@
     }
 
     fn refusal_changed(&self, refuses: bool) {
-        self.post(Event::DiskRefuses(refuses));
+        self.post(Event::DiskWritesRefused(refuses));
     }
 
     fn failed(&self, report: error_stack::Report<Error>) {
@@ -176,12 +176,12 @@
 }
 
 /// A process with one thread, ready to run.
-pub struct SingleProcess<P: Platform> {
+pub struct SingleThreadedProcess<P: Platform> {
     settings: Settings,
     settings_file: PathBuf,
     platform: P,
     metrics: Arc<Metrics>,
-    handle: SingleHandle,
+    handle: SingleThreadedHandle,
     events: mpsc::UnboundedReceiver<Event>,
 }
 
@@ -197,17 +197,28 @@
     served: Rc<Cell<Instant>>,
 }
 
-impl<P: Platform> SingleProcess<P> {
+impl<P: Platform> SingleThreadedProcess<P> {
     /// Makes a process from checked settings and the file that they come from.
-    pub fn new(settings: Settings, settings_file: PathBuf, platform: P) -> SingleProcess<P> {
+    pub fn new(
+        settings: Settings,
+        settings_file: PathBuf,
+        platform: P,
+    ) -> SingleThreadedProcess<P> {
         set_clock_ahead(settings.process.clock_ahead_ms.into());
         let (sender, events) = mpsc::unbounded_channel();
-        let handle = SingleHandle { events: sender };
-        SingleProcess { settings, settings_file, platform, metrics: Metrics::new(), handle, events }
+        let handle = SingleThreadedHandle { events: sender };
+        SingleThreadedProcess {
+            settings,
+            settings_file,
+            platform,
+            metrics: Metrics::new(),
+            handle,
+            events,
+        }
     }
 
     /// Returns a handle to stop it by.
-    pub fn handle(&self) -> SingleHandle {
+    pub fn handle(&self) -> SingleThreadedHandle {
         self.handle.clone()
     }
 
@@ -405,7 +416,7 @@
             let it = match it {
                 Ok(it) => it,
                 Err(it) => {
-                    metrics.announcement_passed_over(Unusable::Unreadable);
+                    metrics.announcement_passed_over(AnnouncementRejection::Unreadable);
                     return Some(platform.refusal(&it));
                 }
             };
@@ -521,7 +532,7 @@
 
 struct OpenDisk {
     disk: Disk,
-    recovered: control::log::Recovered,
+    recovered: control::log::RecoveredState,
     identity: Identity,
 }
 
@@ -535,7 +546,7 @@
             Event::Node(it) => self.to_node(it),
             Event::Persisted(number) => self.to_member(control::Input::Persisted { number }),
             Event::DiskFull(it) => self.to_member(control::Input::DiskFull(it)),
-            Event::DiskRefuses(it) => self.to_member(control::Input::DiskRefuses(it)),
+            Event::DiskWritesRefused(it) => self.to_member(control::Input::DiskWritesRefused(it)),
             Event::Link(LinkEvent::Lost { peer }) => {
                 tracing::debug!(event = "link_lost", %peer);
             }
@@ -556,9 +567,9 @@
     }
 
     fn set_controls(&self, controls: &[SocketAddr]) {
-        self.to_gateway(gateway::Input::Controls(controls.to_vec()));
-        self.to_node(node::Input::Controls(controls.to_vec()));
-        self.to_member(control::Input::Controls(controls.to_vec()));
+        self.to_gateway(gateway::Input::ControlAddresses(controls.to_vec()));
+        self.to_node(node::Input::ControlAddresses(controls.to_vec()));
+        self.to_member(control::Input::ControlAddresses(controls.to_vec()));
     }
 
     fn stop(&self) {
--- a/src/standin/worker_model.rs
+++ b/src/standin/worker_model.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     agent::{WorkerCall, WorkerReport, WorkerResult, WorkerTask},
-    control::state::{NOTHING, add, fits},
+    control::state::{NO_RESOURCES, add, fits},
     prelude::*,
 };
 
@@ -67,7 +67,7 @@
             .values()
             .filter(|it| is_running(it.task.phase))
             .map(|it| it.task.resources)
-            .fold(NOTHING, add)
+            .fold(NO_RESOURCES, add)
     }
 
     /// Follows a call at a time.
@@ -212,7 +212,7 @@
                 phase: TaskPhase::Stopped,
                 detail: CompactString::default(),
                 run_ms: 0,
-                resources: NOTHING,
+                resources: NO_RESOURCES,
             },
             script: Script::default(),
             done_ms: 0.0,
--- a/src/util/incarnation.rs
+++ b/src/util/incarnation.rs
@@ -14,22 +14,22 @@
 /// # Example
 ///
 /// ```
-/// use aspenrail::util::{id_of_lifetime, lifetime_name};
+/// use aspenrail::util::{id_of_incarnation, incarnation_name};
 ///
-/// let name = lifetime_name("worker-1", Some(1_700_000_000_000));
+/// let name = incarnation_name("worker-1", Some(1_700_000_000_000));
 /// assert_eq!(name, "worker-1@1700000000000");
-/// assert_eq!(id_of_lifetime(&name), Some("worker-1"));
-/// assert_eq!(id_of_lifetime("worker-1"), None);
+/// assert_eq!(id_of_incarnation(&name), Some("worker-1"));
+/// assert_eq!(id_of_incarnation("worker-1"), None);
 /// ```
-pub fn lifetime_name(id: &str, born_ms: Option<u64>) -> CompactString {
-    match born_ms {
+pub fn incarnation_name(id: &str, started_unix_ms: Option<u64>) -> CompactString {
+    match started_unix_ms {
         Some(it) => format_compact!("{id}{START_MARK}{it}"),
         None => id.into(),
     }
 }
 
 /// Returns the id in the name of a lifetime; nothing where that is an id alone.
-pub fn id_of_lifetime(name: &str) -> Option<&str> {
+pub fn id_of_incarnation(name: &str) -> Option<&str> {
     let (id, start) = name.rsplit_once(START_MARK)?;
     let is_start = !start.is_empty() && start.bytes().all(|it| it.is_ascii_digit());
     is_start.then_some(id)
--- a/tests/disk.rs
+++ b/tests/disk.rs
@@ -4,7 +4,7 @@
 use std::{fs, path::Path, sync::Arc};
 
 use aspenrail::{
-    control::log::{Disk, DiskWrite, HardState, Identity, Recovered, Snapshot},
+    control::log::{Disk, DiskWrite, HardState, Identity, RecoveredState, Snapshot},
     prelude::*,
     util::{Place, checksum},
 };
@@ -14,7 +14,7 @@
     Identity { member: MemberId(1), place: Place { region: 1, group: 1 }, founders }
 }
 
-fn open(folder: &Path) -> Result<(Disk, Recovered)> {
+fn open(folder: &Path) -> Result<(Disk, RecoveredState)> {
     Disk::open(folder, &identity(), 0)
 }
 
--- a/tests/disk_refused.rs
+++ b/tests/disk_refused.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, atomic::AtomicBool};
 
 use aspenrail::{
-    control::log::{Disk, DiskWrite, HardState, Identity, Recovered, Snapshot},
+    control::log::{Disk, DiskWrite, HardState, Identity, RecoveredState, Snapshot},
     prelude::*,
     util::{Place, checksum},
 };
@@ -16,7 +16,7 @@
     Identity { member: MemberId(1), place: Place { region: 1, group: 1 }, founders }
 }
 
-fn open(folder: &std::path::Path) -> (Disk, Recovered) {
+fn open(folder: &std::path::Path) -> (Disk, RecoveredState) {
     Disk::open(folder, &identity(), 0).unwrap()
 }
 
@@ -31,7 +31,7 @@
     setrlimit(Resource::Fsize, Rlimit { current: bytes, maximum }).unwrap();
 }
 
-fn indexes(recovered: &Recovered) -> Vec<u64> {
+fn indexes(recovered: &RecoveredState) -> Vec<u64> {
     recovered.entries.iter().map(|it| it.index).collect()
 }
 
@@ -44,9 +44,9 @@
     // Part of the next record fits.
     set_largest_file(Some(size + 7));
     assert!(disk.write(writes).is_err());
-    assert!(disk.write_again(writes).is_err());
+    assert!(disk.retry_write(writes).is_err());
     set_largest_file(None);
-    disk.write_again(writes).unwrap();
+    disk.retry_write(writes).unwrap();
     disk.write(&[append(12..=12)]).unwrap();
     drop(disk);
     let (_, recovered) = open(folder.path());
--- a/tests/errors.rs
+++ b/tests/errors.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used)]
 
 use aspenrail::{
-    error::{ANSWERS, Ran, answer_of},
+    error::{ERROR_ANSWERS, ExecutionStatus, answer_of},
     metrics::Metrics,
     prelude::*,
 };
@@ -12,26 +12,26 @@
     let schema: serde_json::Value =
         serde_json::from_str(include_str!("../schema/messages.json")).unwrap();
     let kinds = schema["definitions"]["ErrorKind"]["enum"].as_array().unwrap();
-    let listed: Vec<_> = ANSWERS.iter().map(|it| it.kind.to_string()).collect();
+    let listed: Vec<_> = ERROR_ANSWERS.iter().map(|it| it.kind.to_string()).collect();
     assert_eq!(kinds.iter().map(|it| it.as_str().unwrap()).collect::<Vec<_>>(), listed);
-    for row in ANSWERS {
+    for row in ERROR_ANSWERS {
         assert_eq!(answer_of(row.kind), *row);
     }
 }
 
 #[test]
 fn statuses_are_errors_and_unknown_outcomes_are_not_conflicts_of_the_caller() {
-    for row in ANSWERS {
+    for row in ERROR_ANSWERS {
         assert!((400..600).contains(&row.status), "{row:?}");
         let blames_caller = row.status < 500 && row.kind != ErrorKind::ClaimInProgress;
-        assert!(!(blames_caller && row.ran == Ran::Unknown), "{row:?}");
+        assert!(!(blames_caller && row.ran == ExecutionStatus::Unknown), "{row:?}");
     }
 }
 
 #[test]
 fn every_counter_exists_at_zero_from_the_start() {
     let text = Metrics::new().render();
-    for row in ANSWERS {
+    for row in ERROR_ANSWERS {
         assert!(
             text.contains(&format!("aspenrail_refusals_total{{kind=\"{}\"}} 0", row.kind)),
             "{}",
@@ -56,7 +56,7 @@
 #[test]
 fn api_page_lists_every_kind() {
     let page = include_str!("../docs/API.md");
-    for row in ANSWERS {
+    for row in ERROR_ANSWERS {
         let line = format!(
             "| `{}` | {} | {} | {} |",
             row.kind,
--- a/tests/fillers.rs
+++ b/tests/fillers.rs
@@ -4,15 +4,15 @@
 use aspenrail::{
     policy::{
         contention::{
-            Filler, Harm, Serving,
+            ContentionModel, Filler, Serving,
             images::{ImageKey, Images},
             reference_cores,
             similarity::{Estimates, Evidence, Readings},
         },
-        migration::{Movable, Speed, is_worth_moving},
-        throttling::{FillerReading, Pacer, ServingReading, Usage},
+        migration::{MigrationCandidate, Speed, is_worth_moving},
+        throttling::{FillerReading, ServingReading, Throttler, Usage},
         urgency::{Claim, urgency},
-        worker_health::{Progress, Soundness},
+        worker_health::{Progress, WorkerHealth},
     },
     prelude::*,
 };
@@ -25,7 +25,7 @@
 /// A worker with one task that serves and one filler of ten cores, whose cost is told right or
 /// wrong.
 struct Beside {
-    pacer: Pacer,
+    throttler: Throttler,
     usage: Usage,
     now_ms: u64,
     rest_percent: f64,
@@ -40,12 +40,12 @@
 
 impl Beside {
     fn new(cost_percent: f64, told_percent: f64) -> Beside {
-        let (pacer, usage) = (Pacer::new(HARM_MAX_MS), Usage::default());
-        Beside { pacer, usage, now_ms: 1_000, rest_percent: 250.0, cost_percent, told_percent }
+        let (throttler, usage) = (Throttler::new(HARM_MAX_MS), Usage::default());
+        Beside { throttler, usage, now_ms: 1_000, rest_percent: 250.0, cost_percent, told_percent }
     }
 
     fn pace(&self) -> u32 {
-        self.pacer.percent(run(2, 0))
+        self.throttler.percent(run(2, 0))
     }
 
     fn cores(&self) -> f64 {
@@ -62,11 +62,11 @@
         let serving = ServingReading { run: run(1, 0), headroom_percent: self.headroom() };
         let filler = FillerReading {
             run: run(2, 0),
-            need_cores: FILLER_CORES,
+            full_speed_cores: FILLER_CORES,
             used_cores: self.usage.cores,
             costs_percent: vec![self.told_percent],
         };
-        self.pacer.observe(&[serving], &[filler], self.now_ms);
+        self.throttler.observe(&[serving], &[filler], self.now_ms);
     }
 }
 
@@ -106,7 +106,7 @@
 )]
 fn all_fillers_are_halted_within_half_the_time_that_harm_may_last(harm_max_ms: u64) {
     let mut it = Beside::new(0.0, 0.0);
-    (it.pacer, it.rest_percent) = (Pacer::new(harm_max_ms), 60.0);
+    (it.throttler, it.rest_percent) = (Throttler::new(harm_max_ms), 60.0);
     let began_ms = it.now_ms;
     while it.pace() != 0 && it.now_ms < began_ms + harm_max_ms {
         it.read();
@@ -122,7 +122,7 @@
     (0..12).for_each(|_| it.read());
     assert!(it.pace() < 100);
     let serving = ServingReading { run: run(1, 0), headroom_percent: 300.0 };
-    it.pacer.observe(&[serving], &[], it.now_ms + 270);
+    it.throttler.observe(&[serving], &[], it.now_ms + 270);
     assert_eq!(it.pace(), 100, "what was learned beside earlier fillers is forgotten");
 }
 
@@ -131,14 +131,14 @@
     let serving = ServingReading { run: run(1, 0), headroom_percent: 150.0 };
     let filler = |index: u32, cost: f64| FillerReading {
         run: run(2, index),
-        need_cores: 8.0,
+        full_speed_cores: 8.0,
         used_cores: 0.0,
         costs_percent: vec![cost],
     };
-    let mut pacer = Pacer::new(HARM_MAX_MS);
-    pacer.observe(&[serving], &[filler(0, 20.0), filler(1, 1.0), filler(2, 1.0)], 1_000);
-    assert!(pacer.percent(run(2, 0)) < 20, "{pacer:?}");
-    assert_eq!((pacer.percent(run(2, 1)), pacer.percent(run(2, 2))), (100, 100));
+    let mut throttler = Throttler::new(HARM_MAX_MS);
+    throttler.observe(&[serving], &[filler(0, 20.0), filler(1, 1.0), filler(2, 1.0)], 1_000);
+    assert!(throttler.percent(run(2, 0)) < 20, "{throttler:?}");
+    assert_eq!((throttler.percent(run(2, 1)), throttler.percent(run(2, 2))), (100, 100));
 }
 
 #[yare::parameterized(
@@ -154,7 +154,7 @@
 /// Two VMs with tasks of one service under a swinging load; one of them has fillers beside it.
 #[test]
 fn harm_is_learned_by_pair_under_a_swinging_load() {
-    let mut harm = Harm::default();
+    let mut harm = ContentionModel::default();
     let mut random = fastrand::Rng::with_seed(5);
     for at in 0..60_u64 {
         let now_ms = at * 250;
@@ -184,7 +184,7 @@
 /// Two tasks of one service with mild fillers beside both, read as roughly as on the users' VMs.
 #[test]
 fn rough_readings_alone_make_no_filler_dear() {
-    let mut harm = Harm::default();
+    let mut harm = ContentionModel::default();
     let mut random = fastrand::Rng::with_seed(7);
     let fillers = ["one", "two", "three", "four"];
     for at in 0..80_u64 {
@@ -213,7 +213,7 @@
 
 #[test]
 fn a_dear_filler_is_told_within_three_seconds_beside_a_rising_load() {
-    let mut harm = Harm::default();
+    let mut harm = ContentionModel::default();
     let mut random = fastrand::Rng::with_seed(3);
     // Six tasks of a service on six VMs, four of them with a filler that takes 13 % a core.
     for at in 0..6_u64 {
@@ -239,7 +239,7 @@
 /// A service whose load swings between a fifth and three quarters of what it reserves.
 #[test]
 fn what_services_use_of_their_room_follows_their_load() {
-    let mut harm = Harm::default();
+    let mut harm = ContentionModel::default();
     let image = harm.image("web");
     let group = StepRef::of(run(1, 0).task);
     assert_eq!(harm.use_share(image, group), 0.45, "nothing is known yet");
@@ -275,7 +275,7 @@
 
 #[test]
 fn more_images_than_are_remembered_mix_nothing_up() {
-    let mut harm = Harm::default();
+    let mut harm = ContentionModel::default();
     for at in 0..200_u64 {
         let now_ms = at * 250;
         let image = harm.image("web");
@@ -295,7 +295,7 @@
 }
 
 /// What a core of a filler takes from a service, by their names.
-fn cost(harm: &mut Harm, serving: &str, filler: &str) -> f64 {
+fn cost(harm: &mut ContentionModel, serving: &str, filler: &str) -> f64 {
     let (serving, filler) = (harm.image(serving), harm.image(filler));
     harm.cost_percent(serving, filler)
 }
@@ -361,7 +361,7 @@
 
 #[test]
 fn what_one_service_showed_of_two_fillers_warns_another_of_the_second() {
-    let mut harm = Harm::default();
+    let mut harm = ContentionModel::default();
     // Fillers a and b are dear to the web service. The mail service has met only a so far.
     let (web, mail) = (harm.image("web"), harm.image("mail"));
     let (a, b) = (harm.image("a"), harm.image("b"));
@@ -386,7 +386,7 @@
 
 #[test]
 fn a_queue_that_is_worked_off_is_not_blamed_on_what_runs_then() {
-    let mut harm = Harm::default();
+    let mut harm = ContentionModel::default();
     let image = harm.image("web");
     let serving = |headroom_percent: f64| Serving { run: run(1, 0), image, headroom_percent };
     let group = StepRef::of(run(1, 0).task);
@@ -404,8 +404,13 @@
     halted_everywhere = { 0.05, 0.05, false },
     a_little_slow = { 0.8, 1.0, false },
 )]
-fn a_run_moves_where_it_ends_sooner(share_here: f64, share_there: f64, expected: bool) {
-    let it = Movable { estimate_ms: 3_000, progress_percent: 50, checkpoints: true, share_here };
+fn a_run_moves_where_it_ends_sooner(current_speed_share: f64, share_there: f64, expected: bool) {
+    let it = MigrationCandidate {
+        estimate_ms: 3_000,
+        progress_percent: 50,
+        checkpoints: true,
+        current_speed_share,
+    };
     assert_eq!(is_worth_moving(it, share_there), expected);
 }
 
@@ -413,8 +418,13 @@
 fn a_run_that_saves_nothing_moves_only_early() {
     let moves = |progress_percent: u32| {
         let checkpoints = false;
-        let share_here = 0.4;
-        let it = Movable { estimate_ms: 6_000, progress_percent, checkpoints, share_here };
+        let current_speed_share = 0.4;
+        let it = MigrationCandidate {
+            estimate_ms: 6_000,
+            progress_percent,
+            checkpoints,
+            current_speed_share,
+        };
         is_worth_moving(it, 1.0)
     };
     assert!(moves(5) && !moves(60));
@@ -424,22 +434,22 @@
 fn a_speed_is_judged_only_once_it_was_watched() {
     let mut speed = Speed::new(0);
     (0..6).for_each(|_| speed.observe(0.0));
-    assert_eq!(speed.slow_share(1_000), None);
-    assert!(speed.slow_share(1_500).is_some_and(|it| it < 0.1));
+    assert_eq!(speed.speed_share_if_slow(1_000), None);
+    assert!(speed.speed_share_if_slow(1_500).is_some_and(|it| it < 0.1));
 }
 
 #[test]
 fn three_workflows_in_a_row_cost_the_trust_and_one_alone_never() {
-    let mut it = Soundness::default();
+    let mut it = WorkerHealth::default();
     let lost = (0..20).any(|_| it.note_failed(WorkflowId(1), 0));
     assert!(!lost);
-    assert!(it.is_trusted(0));
+    assert!(it.is_healthy(0));
     it.note_done();
     let lost: Vec<_> = (1..=3).map(|id| it.note_failed(WorkflowId(id), 100)).collect();
     assert_eq!(lost, [false, false, true]);
-    assert!(!it.is_trusted(2_099) && it.is_trusted(2_100));
+    assert!(!it.is_healthy(2_099) && it.is_healthy(2_100));
     assert!(it.note_failed(WorkflowId(9), 2_200), "one more is enough after the pause");
-    assert!(!it.is_trusted(6_199) && it.is_trusted(6_200), "and the pause is longer");
+    assert!(!it.is_healthy(6_199) && it.is_healthy(6_200), "and the pause is longer");
 }
 
 #[yare::parameterized(
@@ -465,14 +475,14 @@
 fn the_order_is_lasting_then_priority_then_what_can_still_meet_its_objective() {
     let claim = Claim {
         priority: 1,
-        is_lasting: false,
-        due_by_ms: 10_000,
+        is_long_running: false,
+        objective_deadline_ms: 10_000,
         remaining_ms: 1_000,
         work_core_ms: 5_000,
     };
-    let lasting = Claim { is_lasting: true, priority: 3, ..claim };
+    let lasting = Claim { is_long_running: true, priority: 3, ..claim };
     let urgent = Claim { priority: 0, work_core_ms: 90_000, ..claim };
-    let late = Claim { due_by_ms: 500, work_core_ms: 1, ..claim };
+    let late = Claim { objective_deadline_ms: 500, work_core_ms: 1, ..claim };
     let large = Claim { work_core_ms: 6_000, ..claim };
     let order = [lasting, urgent, claim, large, late];
     assert!(order.is_sorted_by_key(|it| urgency(*it, 0)));
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -73,7 +73,7 @@
     stranger.link.send(own.address, message(1));
     let event = stranger.events.recv_timeout(NEVER).unwrap();
     assert!(matches!(event, LinkEvent::Lost { peer } if peer == own.address), "{event:?}");
-    assert_eq!(own.metrics.refusals_of(ErrorKind::VersionUnsupported), 1);
+    assert_eq!(own.metrics.refusal_count(ErrorKind::VersionUnsupported), 1);
     assert!(own.events.try_recv().is_err(), "nothing of it is taken in");
 }
 
@@ -108,7 +108,7 @@
         number += 1;
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(a.metrics.silent_links(), 1);
+    assert_eq!(a.metrics.silent_link_count(), 1);
 }
 
 /// Time for a host that takes connections again: a try, and what two processes take on a busy VM.
--- a/tests/log_gathering.rs
+++ b/tests/log_gathering.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used)]
 
 use aspenrail::{
-    control::log::{Raft, RaftOptions, Recovered},
+    control::log::{Raft, RaftOptions, RecoveredState},
     prelude::*,
 };
 
@@ -27,9 +27,9 @@
         let address = |it: u64| ([127, 0, 0, 1], 1_000 + it as u16).into();
         let voters: Vec<_> =
             (1..=3).map(|it| Member { id: MemberId(it), address: address(it) }).collect();
-        let recovered = Recovered {
+        let recovered = RecoveredState {
             initial_members: Membership { voters, learners: Vec::new() },
-            ..Recovered::default()
+            ..RecoveredState::default()
         };
         let now = Now { mono_ms: 10_000, wall_ms: 10_000 };
         let new = |it| {
@@ -233,8 +233,8 @@
         group.now_ms += 10;
         group.propose_command(large_configuration(version));
         group.sync();
-        drop(group.members[0].take_applied());
-        if group.members[0].is_heavy() {
+        drop(group.members[0].take_committed());
+        if group.members[0].needs_snapshot() {
             group.members[0].compact(vec![0; DOCUMENT_BYTES]);
         }
         let bytes = group.members[0].entries_bytes();
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -4,16 +4,16 @@
 use std::collections::BTreeMap;
 
 use aspenrail::{
-    control::state::{NOTHING, Step, add, fits, subtract, transition},
+    control::state::{NO_RESOURCES, Step, add, fits, subtract, transition},
     policy::{
         admission::{FairQueue, Rejection, Waiting},
         feedback::{Action, Loop, Report},
         interference::{Pairs, Past},
-        placement::{Aim, Cost, Index, Room},
+        placement::{Cost, Index, PlacementStrategy, Room},
         preemption::{EvictionBudget, Purpose, Victim, choose_victims},
         retry::{Ejection, RetryBudget},
         routing::{self, EndpointView},
-        run_times::RunTimes,
+        run_times::RunTimeEstimates,
         task_queue::{self, Facts, Queue, Rule, Runs, Tier},
     },
     prelude::*,
@@ -63,14 +63,14 @@
             index.set(VmId(at as u32), Some(Room { free: resources(*cpu, *memory), zone, rack: "r".into() }));
         }
         let need = resources(need.0, need.1);
-        let aim = if spread { Aim::Spread } else { Aim::Pack };
+        let aim = if spread { PlacementStrategy::Spread } else { PlacementStrategy::Pack };
         let chosen = index.choose(need, aim, &SomeCost);
         let by_scan = index.choose_by_scan(need, aim, &SomeCost);
         prop_assert_eq!(chosen.is_some(), by_scan.is_some());
         if let (Some(chosen), Some(by_scan)) = (chosen, by_scan) {
             prop_assert!(fits(need, index.get(chosen).unwrap().free));
             let key = |vm: VmId| (SomeCost.interference(vm).to_bits(), index.get(vm).unwrap().free.cpu_millicores);
-            if aim == Aim::Pack {
+            if aim == PlacementStrategy::Pack {
                 prop_assert_eq!(key(chosen), key(by_scan));
             }
         }
@@ -161,8 +161,8 @@
     #[test]
     fn reservations_add_up(parts in proptest::collection::vec((0_u32..1_000, 0_u32..1_000), 0..20)) {
         let parts: Vec<_> = parts.into_iter().map(|(cpu, memory)| resources(cpu, memory)).collect();
-        let sum = parts.iter().copied().fold(NOTHING, add);
-        prop_assert_eq!(parts.iter().copied().fold(sum, subtract), NOTHING);
+        let sum = parts.iter().copied().fold(NO_RESOURCES, add);
+        prop_assert_eq!(parts.iter().copied().fold(sum, subtract), NO_RESOURCES);
     }
 }
 
@@ -226,28 +226,28 @@
 
 #[test]
 fn run_times_are_corrected_both_ways() {
-    let mut times = RunTimes::default();
+    let mut times = RunTimeEstimates::default();
     for _ in 0..30 {
         times.observe("t", "over", 10_000, 1_000);
         times.observe("t", "under", 1_000, 10_000);
     }
-    let over = times.expect_ms("t", "over", 20_000);
-    let under = times.expect_ms("t", "under", 2_000);
+    let over = times.expected_run_ms("t", "over", 20_000);
+    let under = times.expected_run_ms("t", "under", 2_000);
     assert!((1_800..2_200).contains(&over), "{over}");
     assert!((18_000..22_000).contains(&under), "{under}");
-    assert_eq!(times.expect_ms("t", "new", 500), 500);
+    assert_eq!(times.expected_run_ms("t", "new", 500), 500);
 }
 
 #[test]
 fn kinds_that_callers_make_up_are_bounded() {
-    let mut times = RunTimes::default();
+    let mut times = RunTimeEstimates::default();
     for kind in 0..12_000 {
         for _ in 0..6 {
             times.observe("t", &format!("kind-{kind}"), 10, 1_000);
         }
     }
-    assert!(10 < times.expect_ms("t", "kind-9", 10), "the first ones are kept");
-    assert_eq!(times.expect_ms("t", "kind-11999", 10), 10);
+    assert!(10 < times.expected_run_ms("t", "kind-9", 10), "the first ones are kept");
+    assert_eq!(times.expected_run_ms("t", "kind-11999", 10), 10);
 }
 
 #[test]
@@ -281,8 +281,8 @@
             (true, true) => 40,
             (false, _) => 20,
         };
-        let released_ms = if is_noisy && throttled { 90 } else { tail_ms };
-        let report = Report { tail_ms, released_ms, target_ms: 50, lag_ms: 1_000 };
+        let unthrottled_tail_ms = if is_noisy && throttled { 90 } else { tail_ms };
+        let report = Report { tail_ms, unthrottled_tail_ms, target_ms: 50, lag_ms: 1_000 };
         let was_closed = feedback.is_closed();
         let action = feedback.observe(second * 1_000, report, Some(TaskId(1)));
         throttles += u32::from(matches!(action, Action::Throttle { .. }));
@@ -302,7 +302,7 @@
         let tail_ms = if second < 7 { 100 } else { 45 };
         let action = {
             let report =
-                Report { tail_ms, released_ms: tail_ms + 10, target_ms: 50, lag_ms: 5_000 };
+                Report { tail_ms, unthrottled_tail_ms: tail_ms + 10, target_ms: 50, lag_ms: 5_000 };
             feedback.observe(second * 1_000, report, Some(task))
         };
         if action != Action::None {
@@ -435,7 +435,7 @@
     }
     let borrowed: Vec<_> = queue.candidates(9).iter().map(|it| it.borrows).collect();
     assert_eq!(borrowed, [false, false, true, true]);
-    (0..4).for_each(|_| queue.note_running("borrower", resources(500, 1), Runs::Starts));
+    (0..4).for_each(|_| queue.record_run_change("borrower", resources(500, 1), Runs::Starts));
     let waiting = task_queue::Waiting {
         task: TaskId(9),
         tier: Tier::Batch,
--- a/tests/promises/checkers.rs
+++ b/tests/promises/checkers.rs
@@ -5,7 +5,7 @@
 use aspenrail::{
     control::state::State,
     entry::CallerAnswer,
-    error::{Ran, answer_of},
+    error::{ExecutionStatus, answer_of},
     prelude::*,
 };
 
@@ -64,7 +64,7 @@
     let mut res = Vec::new();
     for (token, quick) in &it.quicks {
         let Some((told_ms, CallerAnswer::Refused(refusal))) = &quick.answer else { continue };
-        if answer_of(refusal.kind).ran != Ran::No {
+        if answer_of(refusal.kind).ran != ExecutionStatus::No {
             continue;
         }
         let is_open = |(other, it): (&u64, &QuickRecord)| {
--- a/tests/promises/disk.rs
+++ b/tests/promises/disk.rs
@@ -2,19 +2,19 @@
 
 use std::collections::VecDeque;
 
-use aspenrail::control::log::{DiskWrite, Recovered};
+use aspenrail::control::log::{DiskWrite, RecoveredState};
 
 /// The disk of one control member.
 #[derive(Clone, Debug, Default)]
 pub struct FakeDisk {
-    durable: Recovered,
+    durable: RecoveredState,
     written: VecDeque<(u64, Vec<DiskWrite>)>,
     /// A disk that has failed syncs nothing any more.
     pub stuck: bool,
 }
 
 impl FakeDisk {
-    pub fn new(durable: Recovered) -> FakeDisk {
+    pub fn new(durable: RecoveredState) -> FakeDisk {
         FakeDisk { durable, ..FakeDisk::default() }
     }
 
@@ -31,14 +31,14 @@
     }
 
     /// Crashes: of the writes not synced, the first `kept` survive all the same.
-    pub fn crash(&mut self, kept: usize) -> Recovered {
+    pub fn crash(&mut self, kept: usize) -> RecoveredState {
         let survivors: Vec<_> = self.written.drain(..).take(kept).collect();
         survivors.into_iter().flat_map(|(_, it)| it).for_each(|it| replay(&mut self.durable, it));
         self.durable.clone()
     }
 }
 
-fn replay(disk: &mut Recovered, write: DiskWrite) {
+fn replay(disk: &mut RecoveredState, write: DiskWrite) {
     let first = disk.snapshot.as_ref().map_or(0, |it| it.index) + 1;
     match write {
         DiskWrite::HardState(it) => disk.hard = it,
--- a/tests/promises/world/mod.rs
+++ b/tests/promises/world/mod.rs
@@ -11,7 +11,7 @@
 
 use aspenrail::{
     agent::{self, AgentCore, AgentOptions, Announcement, ExecutionId, ExecutorCall, WorkerCall},
-    control::{self, ControlCore, ControlOptions, log::Recovered},
+    control::{self, ControlCore, ControlOptions, log::RecoveredState},
     entry::{self, CallerRequest, EntryCore, EntryOptions, QuickRequest},
     metrics::Metrics,
     prelude::*,
@@ -27,7 +27,7 @@
     sabotage::Sabotage,
 };
 
-pub const PLACE: Place = Place { region: 1, group: 1 };
+pub const GROUP_ID: Place = Place { region: 1, group: 1 };
 pub const CAPACITY: Resources =
     Resources { cpu_millicores: 8_000, memory_mib: 16_000, accelerators: 1 };
 const WALL_MS: u64 = 1_700_000_000_000;
@@ -158,7 +158,8 @@
         for node in 0..controls + entries + agents {
             let role = if node < controls {
                 let members = Membership { voters: founders.clone(), learners: Vec::new() };
-                let recovered = Recovered { initial_members: members, ..Recovered::default() };
+                let recovered =
+                    RecoveredState { initial_members: members, ..RecoveredState::default() };
                 RoleCore::Control {
                     core: None,
                     disk: Box::new(FakeDisk::new(recovered)),
@@ -205,7 +206,7 @@
         match &mut self.nodes[node].role {
             RoleCore::Control { core, disk, member } => {
                 let options = ControlOptions {
-                    place: PLACE,
+                    place: GROUP_ID,
                     member: *member,
                     address: own,
                     controls,
@@ -290,7 +291,7 @@
         self.next_member += 1;
         let id = MemberId(self.next_member);
         if let RoleCore::Control { disk, member, .. } = &mut self.nodes[node].role {
-            **disk = FakeDisk::new(Recovered::default());
+            **disk = FakeDisk::new(RecoveredState::default());
             *member = id;
         }
         self.start(node);
--- a/tests/soak/workers.rs
+++ b/tests/soak/workers.rs
@@ -147,7 +147,7 @@
                 let Some(it) = it else { continue };
                 let body = json!({"service": "pool", "zone": it.zone, "state": "ready", "slots": 8,
                     "capacity": {"cpu": it.capacity.cpu_millicores, "mem_mb": it.capacity.memory_mib, "gpu": 0},
-                    "labels": [it.kind, it.rack], "clock_ms": it.clock_ms, "sequence": it.sequence, "born": it.born_ms});
+                    "labels": [it.kind, it.rack], "clock_ms": it.clock_ms, "sequence": it.sequence, "born": it.started_unix_ms});
                 // Fails while the node is down or frozen; the next one follows.
                 let _ = client
                     .put(format!("http://{node}/-/instances/{}", it.id))
@@ -247,7 +247,7 @@
 fn answer_of(result: &CallResult) -> HttpAnswer {
     let refused = |clock_ms, reason| json!({"clock_ms": clock_ms, "reason": reason});
     match result {
-        CallResult::Held { clock_ms, born_ms, running, ended } => {
+        CallResult::Held { clock_ms, started_unix_ms, running, ended } => {
             let running: Vec<_> = running
                 .iter()
                 .map(|it| json!([name_of(it.run.task), it.run.run, "", it.progress_percent, 0]))
@@ -259,8 +259,7 @@
                     json!([it.cursor, name_of(it.end.run.task), it.end.run.run, how, ""])
                 })
                 .collect();
-            let body =
-                json!({"clock_ms": clock_ms, "born": born_ms, "running": running, "ended": ended});
+            let body = json!({"clock_ms": clock_ms, "born": started_unix_ms, "running": running, "ended": ended});
             HttpAnswer::json(200, &body)
         }
         CallResult::Done { clock_ms } => HttpAnswer::json(200, &json!({"clock_ms": clock_ms})),
--- a/tests/suspicion.rs
+++ b/tests/suspicion.rs
@@ -1,7 +1,7 @@
 //! Which tasks are held to crash their workers, by plain figures.
 #![allow(clippy::unwrap_used)]
 
-use aspenrail::policy::crash_evidence::{Background, Suspicion};
+use aspenrail::policy::crash_evidence::{Background, CrashEvidence};
 
 /// Six workers, of which one crashes by itself each second and a half.
 const STORMY: Background = Background { crashes: 13, workers: 6 };
@@ -9,8 +9,8 @@
 /// Eleven workers that hardly crash.
 const QUIET: Background = Background { crashes: 0, workers: 11 };
 
-fn after(ages_ms: &[u64], background: Background) -> Suspicion {
-    ages_ms.iter().fold(Suspicion::default(), |it, age_ms| it.after_crash(*age_ms, background))
+fn after(ages_ms: &[u64], background: Background) -> CrashEvidence {
+    ages_ms.iter().fold(CrashEvidence::default(), |it, age_ms| it.after_crash(*age_ms, background))
 }
 
 #[yare::parameterized(
@@ -26,7 +26,7 @@
     ages_ms: &[u64],
     expected: bool,
 ) {
-    assert_eq!(after(ages_ms, background).is_convicted(), expected);
+    assert_eq!(after(ages_ms, background).is_culprit(), expected);
 }
 
 /// What most likely lost its workers to something else has one chance left, in a calm.
@@ -35,5 +35,5 @@
     three_crashes = { &[2_900, 1_200, 3_600], true },
 )]
 fn the_last_chance_waits_for_a_calm(ages_ms: &[u64], expected: bool) {
-    assert_eq!(after(ages_ms, STORMY).needs_calm(), expected);
+    assert_eq!(after(ages_ms, STORMY).needs_quiet_period(), expected);
 }
--- a/tests/workflows/colocation.rs
+++ b/tests/workflows/colocation.rs
@@ -7,8 +7,8 @@
 
 use aspenrail::{
     policy::{
-        contention::{UNKNOWN_PERCENT, headroom_percent},
-        throttling::{FillerReading, Pacer, ServingReading},
+        contention::{UNKNOWN_COST_PERCENT, headroom_percent},
+        throttling::{FillerReading, ServingReading, Throttler},
     },
     prelude::*,
 };
@@ -66,7 +66,7 @@
     ended: Vec<EndedRun>,
     cursor: u64,
     costs_percent: HashMap<(CompactString, CompactString), f64>,
-    pacer: Pacer,
+    throttler: Throttler,
 }
 
 /// A run, and the step that it is of.
@@ -74,8 +74,8 @@
 
 impl Place {
     fn new() -> Place {
-        let pacer = Pacer::new(4_000);
-        Place { ended: Vec::new(), cursor: 0, costs_percent: HashMap::new(), pacer }
+        let throttler = Throttler::new(4_000);
+        Place { ended: Vec::new(), cursor: 0, costs_percent: HashMap::new(), throttler }
     }
 
     fn take_grant(&mut self, grant: &NodeGrant) {
@@ -92,7 +92,7 @@
     }
 
     fn share(&self, run: RunRef) -> f64 {
-        f64::from(self.pacer.percent(run)) / 100.0
+        f64::from(self.throttler.percent(run)) / 100.0
     }
 
     fn tail_ms(
@@ -113,7 +113,7 @@
     fn pace(&mut self, services: &[Running], tails_ms: &[u32], fillers: &[Running], now_ms: u64) {
         let told = |serving: &CompactString, filler: &CompactString| {
             let pair = (serving.clone(), filler.clone());
-            self.costs_percent.get(&pair).copied().unwrap_or(UNKNOWN_PERCENT)
+            self.costs_percent.get(&pair).copied().unwrap_or(UNKNOWN_COST_PERCENT)
         };
         let serving_readings: Vec<_> = services
             .iter()
@@ -127,12 +127,12 @@
             .iter()
             .map(|it| FillerReading {
                 run: it.0,
-                need_cores: f64::from(it.1.need.cpu_millicores) / 1_000.0,
+                full_speed_cores: f64::from(it.1.need.cpu_millicores) / 1_000.0,
                 used_cores: self.cores(it),
                 costs_percent: services.iter().map(|(_, s)| told(&s.image, &it.1.image)).collect(),
             })
             .collect();
-        self.pacer.observe(&serving_readings, &filler_readings, now_ms);
+        self.throttler.observe(&serving_readings, &filler_readings, now_ms);
     }
 
     fn end(&mut self, run: RunRef, outcome: RunOutcome) {
--- a/tests/workflows/fillers.rs
+++ b/tests/workflows/fillers.rs
@@ -4,7 +4,7 @@
 
 use aspenrail::{
     control::{dispatch::Dispatcher, state::Workflows},
-    policy::contention::Harm,
+    policy::contention::ContentionModel,
     prelude::*,
 };
 
@@ -250,7 +250,7 @@
     let known = leader.workflows.costs().to_vec();
     let cost = known.iter().find(|it| it.serving == "web" && it.filler == "heavy").unwrap();
     assert!((14.0..28.0).contains(&cost.headroom_percent), "{cost:?}; the truth is 21");
-    let mut next = Harm::with_known(leader.workflows.costs(), 7_000);
+    let mut next = ContentionModel::with_known_costs(leader.workflows.costs(), 7_000);
     let (web, heavy) = (next.image("web"), next.image("heavy"));
     assert_eq!(next.cost_percent(web, heavy), f64::from(cost.headroom_percent));
 }
--- a/tests/workflows/ledger.rs
+++ b/tests/workflows/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use aspenrail::{
-    control::state::{State, WorkflowError, Workflows, check_spec},
+    control::state::{State, ValidationError, Workflows, check_spec},
     prelude::*,
     util::Place,
 };
@@ -192,7 +192,7 @@
     }
     if let Fate::Returns = fate {
         let noted = NotedEnds { noted_cursor: 5, lapsed_after_cursor: 4, lapsed_cursor: 5 };
-        let settled = ledger.settled_by(WorkerId(2), noted).unwrap();
+        let settled = ledger.failures_to_settle(WorkerId(2), noted).unwrap();
         ledger.apply(&WorkflowCommand::Settle(settled), 6);
     }
     let task = ledger.get(WorkflowId(7)).unwrap().task(first.task).unwrap();
@@ -206,10 +206,10 @@
     let first = run(7, 0, 0, 1);
     ledger.apply(&begin(1, &[first]), 2);
     ledger.apply(&finish(1, 5, first, RunOutcome::Failed), 3);
-    assert_eq!(ledger.failures_on(WorkerId(1)), [first]);
+    assert_eq!(ledger.unsettled_failures_on(WorkerId(1)), [first]);
     ledger.apply(&WorkflowCommand::Dismiss(WorkerId(1)), 10);
-    assert_eq!(ledger.failures_lost_before(10), []);
-    assert_eq!(ledger.failures_lost_before(11), [first]);
+    assert_eq!(ledger.lost_failures_before(10), []);
+    assert_eq!(ledger.lost_failures_before(11), [first]);
 }
 
 #[yare::parameterized(
@@ -224,7 +224,7 @@
     let first = run(7, 0, 0, 1);
     ledger.apply(&begin(1, &[first]), 2);
     ledger.apply(&finish(1, 5, first, RunOutcome::Failed), 3);
-    let settled = ledger.settled_by(WorkerId(1), noted);
+    let settled = ledger.failures_to_settle(WorkerId(1), noted);
     assert_eq!(settled.map(|it| it.counted == [first]), counts);
 }
 
@@ -239,7 +239,7 @@
     ledger.apply(&begin(1, &[second]), 4);
     ledger.apply(&finish(1, 1, first, RunOutcome::Done), 5);
     assert_eq!(phase(&ledger), WorkflowPhase::Completed);
-    assert!(ledger.is_superfluous(second));
+    assert!(ledger.is_redundant(second));
 }
 
 #[test]
@@ -294,7 +294,7 @@
     too_many = { vec![step(10_001, 1, &[])], "10001 tasks" },
 )]
 fn a_workflow_that_cannot_be_is_refused(steps: Vec<WorkflowStep>, expected: &str) {
-    let Err(WorkflowError(why)) = check_spec(&spec(steps)) else { panic!("it was taken") };
+    let Err(ValidationError(why)) = check_spec(&spec(steps)) else { panic!("it was taken") };
     assert!(why.contains(expected), "{why}");
 }
 
--- a/tests/workflows/lifetimes.rs
+++ b/tests/workflows/lifetimes.rs
@@ -15,16 +15,16 @@
 /// A clock that was set back in between: a later lifetime may seem to have begun before.
 const SECOND_MS: u64 = FIRST_MS - 3_600_000;
 
-fn announced(born_ms: u64, sequence: u64) -> Input {
-    Input::Announced(announcement("worker", "pool", sequence, Some(born_ms)))
+fn announced(started_unix_ms: u64, sequence: u64) -> Input {
+    Input::Announced(announcement("worker", "pool", sequence, Some(started_unix_ms)))
 }
 
-fn name(born_ms: u64) -> Option<CompactString> {
-    Some(format_compact!("worker@{born_ms}"))
+fn name(started_unix_ms: u64) -> Option<CompactString> {
+    Some(format_compact!("worker@{started_unix_ms}"))
 }
 
-fn listed(born_ms: Option<u64>, running: Vec<RunningTask>) -> CallResult {
-    CallResult::Held { clock_ms: 90, born_ms, running, ended: Vec::new() }
+fn listed(started_unix_ms: Option<u64>, running: Vec<RunningTask>) -> CallResult {
+    CallResult::Held { clock_ms: 90, started_unix_ms, running, ended: Vec::new() }
 }
 
 /// Answers the newest look at the worker.
@@ -129,7 +129,10 @@
     let end = RunEnd { run: RUN, outcome: RunOutcome::Done, checkpoint: CompactString::default() };
     let ended = vec![EndedRun { cursor: 1, end }];
     let running = Vec::new();
-    answer(&mut alone, CallResult::Held { clock_ms: 90, born_ms: Some(SECOND_MS), running, ended });
+    answer(
+        &mut alone,
+        CallResult::Held { clock_ms: 90, started_unix_ms: Some(SECOND_MS), running, ended },
+    );
     alone.calls.clear();
     alone.pass(600);
     assert!(
@@ -183,7 +186,7 @@
 /// seen; and its clock is another one, so that it would run on after its lease.
 #[yare::parameterized(
     no_answer = { CallResult::NoAnswer },
-    nobody_there = { CallResult::NobodyThere },
+    nobody_there = { CallResult::ConnectionRefused },
 )]
 fn ends_and_leases_are_told_to_a_lifetime_that_surely_listens(failed: CallResult) {
     let mut alone = beside_first();
@@ -233,7 +236,7 @@
 fn a_lifetime_that_was_given_up_and_is_there_is_used_again() {
     let mut alone = beside_first();
     for _ in 0..3 {
-        answer(&mut alone, CallResult::NobodyThere);
+        answer(&mut alone, CallResult::ConnectionRefused);
         alone.pass(150);
     }
     assert!(alone.reports.last().unwrap().workers[0].gone);
@@ -250,7 +253,7 @@
     let mut alone = Alone::new();
     alone.grant(false, Vec::new());
     for _ in 0..3 {
-        answer(&mut alone, CallResult::NobodyThere);
+        answer(&mut alone, CallResult::ConnectionRefused);
         alone.pass(150);
     }
     assert!(alone.reports.last().unwrap().workers[0].gone);
@@ -283,7 +286,7 @@
 #[test]
 fn a_late_word_of_leaving_ends_no_lifetime_that_has_not_said_that_it_drains() {
     let mut alone = beside_first();
-    let left = |born_ms| Input::Left(Departure { id: "worker".into(), born_ms });
+    let left = |started_unix_ms| Input::Left(Departure { id: "worker".into(), started_unix_ms });
     alone.input(left(Some(SECOND_MS)));
     alone.pass(600);
     assert!(!alone.reports.last().unwrap().workers[0].draining);
--- a/tests/workflows/node.rs
+++ b/tests/workflows/node.rs
@@ -2,7 +2,8 @@
 
 use aspenrail::{
     node::{
-        Action, Announcement, CallResult, Effect, Input, NodeCore, NodeOptions, Refused, Unusable,
+        Action, Announcement, AnnouncementRejection, CallResult, Effect, Input, NodeCore,
+        NodeOptions, Refused,
     },
     prelude::*,
 };
@@ -16,7 +17,7 @@
     pub reports: Vec<NodeReport>,
     /// Whom each report was sent to.
     asked: Vec<std::net::SocketAddr>,
-    passed_over: Vec<Unusable>,
+    passed_over: Vec<AnnouncementRejection>,
 }
 
 pub const RUN: RunRef =
@@ -60,7 +61,7 @@
             remaining_ms: 0,
             clock_ms: 50_000,
             sequence: 1,
-            born_ms: None,
+            started_unix_ms: None,
         }));
         res.answer_newcomer();
         res
@@ -81,7 +82,7 @@
                     self.asked.push(to);
                     self.reports.push(it);
                 }
-                Effect::PassedOver(it) => self.passed_over.push(it),
+                Effect::AnnouncementIgnored(it) => self.passed_over.push(it),
                 Effect::Send { .. } => (),
             }
         }
@@ -156,7 +157,12 @@
         let id = self.take_call(is_hold);
         self.end(
             id,
-            CallResult::Held { clock_ms: 50_100, born_ms: None, running, ended: Vec::new() },
+            CallResult::Held {
+                clock_ms: 50_100,
+                started_unix_ms: None,
+                running,
+                ended: Vec::new(),
+            },
         );
     }
 
@@ -168,7 +174,7 @@
             id,
             CallResult::Held {
                 clock_ms: 50_300,
-                born_ms: None,
+                started_unix_ms: None,
                 running: Vec::new(),
                 ended: Vec::new(),
             },
@@ -286,7 +292,7 @@
         hold,
         CallResult::Held {
             clock_ms: 50_150,
-            born_ms: None,
+            started_unix_ms: None,
             running: Vec::new(),
             ended: Vec::new(),
         },
@@ -314,7 +320,12 @@
         let id = alone.take_call(is_hold);
         alone.end(
             id,
-            CallResult::Held { clock_ms: 50_200, born_ms: None, running: Vec::new(), ended },
+            CallResult::Held {
+                clock_ms: 50_200,
+                started_unix_ms: None,
+                running: Vec::new(),
+                ended,
+            },
         );
         let asked = alone.asked.last().copied();
         assert_eq!(asked, leader, "report {cursor} went to another process");
@@ -391,7 +402,12 @@
     Input::Announced(announcement(id, service, sequence, None))
 }
 
-pub fn announcement(id: &str, service: &str, sequence: u64, born_ms: Option<u64>) -> Announcement {
+pub fn announcement(
+    id: &str,
+    service: &str,
+    sequence: u64,
+    started_unix_ms: Option<u64>,
+) -> Announcement {
     Announcement {
         id: id.into(),
         service: service.into(),
@@ -403,7 +419,7 @@
         remaining_ms: 0,
         clock_ms: 50_050,
         sequence,
-        born_ms,
+        started_unix_ms,
     }
 }
 
@@ -429,7 +445,7 @@
     let tell = |it: NodeGrant| Input::Message(Box::new(Message::NodeGrant(it)));
     alone.input(tell(grant(vec!["pool".into()])));
     alone.input(announced("other", "elsewhere", 1));
-    assert_eq!(alone.passed_over, [Unusable::ForeignService]);
+    assert_eq!(alone.passed_over, [AnnouncementRejection::UnknownService]);
     alone.pass(600);
     assert_eq!(alone.reports.last().unwrap().workers[0].name, "worker");
     // The pool is named later, and a new lifetime of it replaces the one before.
@@ -455,12 +471,12 @@
     let mut alone = Alone::new();
     alone.grant(false, Vec::new());
     alone.list(vec![running()]);
-    let part = |ended: Vec<EndedRun>| CallResult::HeldInPart {
+    let part = |ended: Vec<EndedRun>| CallResult::PartialRunList {
         clock_ms: 50_100,
-        born_ms: None,
+        started_unix_ms: None,
         running: Vec::new(),
         ended,
-        ended_later: Vec::new(),
+        ended_after_unreadable: Vec::new(),
         unreadable: 1,
     };
     alone.pass(300);
@@ -489,12 +505,12 @@
         let end = RunEnd { run: RUN, outcome: RunOutcome::Done, checkpoint: "".into() };
         alone.end(
             id,
-            CallResult::HeldInPart {
+            CallResult::PartialRunList {
                 clock_ms: 50_100,
-                born_ms: None,
+                started_unix_ms: None,
                 running: Vec::new(),
                 ended: Vec::new(),
-                ended_later: vec![EndedRun { cursor: 5, end }],
+                ended_after_unreadable: vec![EndedRun { cursor: 5, end }],
                 unreadable: 2,
             },
         );
@@ -520,12 +536,12 @@
     for _ in 0..12 {
         alone.pass(300);
         let id = alone.take_call(is_hold);
-        let part = CallResult::HeldInPart {
+        let part = CallResult::PartialRunList {
             clock_ms: 50_100,
-            born_ms: None,
+            started_unix_ms: None,
             running: Vec::new(),
             ended: vec![EndedRun { cursor: 1, end: end.clone() }],
-            ended_later: Vec::new(),
+            ended_after_unreadable: Vec::new(),
             unreadable: 0,
         };
         alone.end(id, part);
@@ -559,7 +575,7 @@
             id,
             CallResult::Held {
                 clock_ms,
-                born_ms: None,
+                started_unix_ms: None,
                 running: Vec::new(),
                 ended: vec![failed(1)],
             },
--- a/tests/workflows/node_restarts.rs
+++ b/tests/workflows/node_restarts.rs
@@ -158,7 +158,7 @@
             match effect {
                 Effect::Call { id, call } => self.call(id, call),
                 Effect::Send { message: Message::NodeReport(it), .. } => self.answer(&it),
-                Effect::Send { .. } | Effect::PassedOver(_) => (),
+                Effect::Send { .. } | Effect::AnnouncementIgnored(_) => (),
             }
         }
     }
--- a/tests/workflows/rules.rs
+++ b/tests/workflows/rules.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use aspenrail::{control::state::reserve_of, prelude::*};
+use aspenrail::{control::state::reservation_of, prelude::*};
 
 /// Workers that may crash under a task, and starts after these that are too many.
 const CRASHES_MAX: u32 = 3;
@@ -77,9 +77,9 @@
     }
 
     /// Returns what a run takes from its worker.
-    pub fn reserve_of(&self, run: RunRef) -> Option<Resources> {
+    pub fn reservation_of(&self, run: RunRef) -> Option<Resources> {
         let spec = self.submitted.get(&run.task.workflow.0)?;
-        spec.steps.get(run.task.step as usize).map(reserve_of)
+        spec.steps.get(run.task.step as usize).map(reservation_of)
     }
 
     /// Notes that a worker crashed because of a run.
--- a/tests/workflows/worker.rs
+++ b/tests/workflows/worker.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use aspenrail::{
-    control::state::{NOTHING, add, fits},
+    control::state::{NO_RESOURCES, add, fits},
     node::{Action, Announcement, CallResult, Refused, WorkerCall},
     prelude::*,
 };
@@ -64,7 +64,7 @@
     /// Rises with each lifetime that comes with an id of its own.
     id_number: u32,
     /// Unix millisecond of its start.
-    pub born_ms: u64,
+    pub started_unix_ms: u64,
     /// When its clock began.
     clock_from_ms: u64,
     pub up: bool,
@@ -97,7 +97,7 @@
             vm,
             lifetime: 0,
             id_number: 0,
-            born_ms: BORN_MS + vm as u64,
+            started_unix_ms: BORN_MS + vm as u64,
             clock_from_ms: 0,
             up: true,
             sequence: 0,
@@ -141,9 +141,9 @@
     }
 
     /// Starts again: its numbers and its clock begin anew.
-    pub fn revive(&mut self, now_ms: u64, born_ms: u64) {
+    pub fn revive(&mut self, now_ms: u64, started_unix_ms: u64) {
         self.up = true;
-        self.born_ms = born_ms;
+        self.started_unix_ms = started_unix_ms;
         self.clock_from_ms = now_ms;
     }
 
@@ -160,7 +160,7 @@
             remaining_ms: 0,
             clock_ms: self.clock(now_ms),
             sequence: self.sequence,
-            born_ms: Some(self.born_ms),
+            started_unix_ms: Some(self.started_unix_ms),
         }
     }
 
@@ -194,7 +194,7 @@
     /// Returns what is in use with one more run.
     fn used_with(&self, run: RunRef, rules: &Ledger) -> Resources {
         let runs = self.running.keys().copied().chain(std::iter::once(run));
-        runs.filter_map(|it| rules.reserve_of(it)).fold(NOTHING, add)
+        runs.filter_map(|it| rules.reservation_of(it)).fold(NO_RESOURCES, add)
     }
 
     /// Its own clock, with an offset of its own.
@@ -283,7 +283,7 @@
                 });
                 CallResult::Held {
                     clock_ms,
-                    born_ms: Some(self.born_ms),
+                    started_unix_ms: Some(self.started_unix_ms),
                     running: running.collect(),
                     ended: self.ended.clone(),
                 }
--- a/tests/workflows/world.rs
+++ b/tests/workflows/world.rs
@@ -9,7 +9,7 @@
     control::{
         self, ControlCore, ControlOptions,
         dispatch::{DispatchOptions, PlanOptions},
-        log::Recovered,
+        log::RecoveredState,
     },
     gateway::{self, Answer, GatewayCore, GatewayOptions},
     node::{self, CallResult, NodeCore, NodeOptions, WorkerCall},
@@ -24,7 +24,7 @@
     worker::{FakeWorker, Nature},
 };
 
-const PLACE: Place = Place { region: 1, group: 1 };
+const GROUP_ID: Place = Place { region: 1, group: 1 };
 
 /// Time after which a worker that crashed is back.
 const CRASH_DOWN_MS: u64 = 3_000;
@@ -182,9 +182,9 @@
             })
             .collect();
         for at in 0..members {
-            let recovered = Recovered {
+            let recovered = RecoveredState {
                 initial_members: Membership { voters: founders.clone(), learners: Vec::new() },
-                ..Recovered::default()
+                ..RecoveredState::default()
             };
             let (disk, id) = (FakeDisk::new(recovered), MemberId(at as u64 + 1));
             res.members.push(Member { core: None, disk, id, boot: 0 });
@@ -213,7 +213,7 @@
 
     fn start_member(&mut self, at: usize) {
         let options = ControlOptions {
-            place: PLACE,
+            place: GROUP_ID,
             member: self.members[at].id,
             address: address(at),
             controls: self.controls(),
@@ -235,7 +235,7 @@
         self.members[at].core = None;
         self.members[at].disk.crash(0);
         if wiped {
-            self.members[at].disk = FakeDisk::new(Recovered::default());
+            self.members[at].disk = FakeDisk::new(RecoveredState::default());
             self.members[at].id = MemberId(self.random.u64(1_000..1 << 40));
         }
         self.push(down_ms, Event::Restart { process: at });
@@ -244,13 +244,13 @@
     /// Lets the disk of a member refuse what is written.
     pub fn refuse_writes(&mut self, at: usize) {
         self.refusing.insert(at, 0);
-        self.tell_member(at, control::Input::DiskRefuses(true));
+        self.tell_member(at, control::Input::DiskWritesRefused(true));
     }
 
     /// Lets the disk of a member take what it refused.
     pub fn take_writes(&mut self, at: usize) {
         let number = self.refusing.remove(&at).filter(|it| 0 < *it);
-        self.tell_member(at, control::Input::DiskRefuses(false));
+        self.tell_member(at, control::Input::DiskWritesRefused(false));
         if let Some(number) = number {
             let boot = self.members[at].boot;
             self.push(6, Event::Synced { process: at, boot, number });
@@ -385,7 +385,7 @@
             Event::Call { vm, boot, id, call } => {
                 if !self.nodes[vm].worker.up {
                     let (after_ms, result) = match self.refuses_connections {
-                        true => (1, CallResult::NobodyThere),
+                        true => (1, CallResult::ConnectionRefused),
                         false => (100, CallResult::NoAnswer),
                     };
                     return self.push(after_ms, Event::Result { vm, boot, id, result });
@@ -490,7 +490,7 @@
         for effect in core.take_effects() {
             match effect {
                 node::Effect::Send { to, message } => self.send(address(200 + vm), to, message),
-                node::Effect::PassedOver(_) => (),
+                node::Effect::AnnouncementIgnored(_) => (),
                 node::Effect::Call { id, call } => {
                     let is_order = !matches!(call.action, node::Action::Hold { .. });
                     if is_order && self.loses_orders {
