--- a/src/agent/core/mod.rs
+++ b/src/agent/core/mod.rs
@@ -12,7 +12,7 @@
 use crate::{
     agent::{
         endpoints::{Announcement, Endpoints, ExecutionId, ExecutorCall, ExecutorResult},
-        seen_attempts::{AttemptId, Seen},
+        seen_attempts::{AttemptId, SeenAttempts},
         tasks::{Tasks, WorkerCall, WorkerResult},
     },
     config::AdoptedConfiguration,
@@ -126,7 +126,7 @@
     endpoints: Endpoints,
     executions: BTreeMap<ExecutionId, Execution>,
     next_execution: u64,
-    seen: Seen,
+    seen: SeenAttempts,
     /// Entries that sent requests, with the time of the last.
     entries: BTreeMap<SocketAddr, u64>,
     draining: bool,
@@ -139,7 +139,7 @@
         let settings = &options.settings;
         AgentCore {
             client: ControlClient::new(options.address, options.controls.clone(), options.boot),
-            seen: Seen::new(settings.seen_max as usize, settings.seen_ms.into()),
+            seen: SeenAttempts::new(settings.seen_max as usize, settings.seen_ms.into()),
             options,
             metrics,
             adopted: AdoptedConfiguration::new(),
--- a/src/agent/core/requests.rs
+++ b/src/agent/core/requests.rs
@@ -5,8 +5,8 @@
 use crate::{
     agent::{
         core::{AgentCore, Effect, Execution},
-        endpoints::{ExecutionId, ExecutorCall, ExecutorResult, Queued},
-        seen_attempts::{AttemptId, Fate},
+        endpoints::{ExecutionId, ExecutorCall, ExecutorResult, QueuedRequest},
+        seen_attempts::{AttemptId, AttemptOutcome},
     },
     prelude::*,
     util::checksum,
@@ -21,8 +21,8 @@
         let attempt = (it.request, it.attempt);
         match self.seen.get(attempt) {
             // Sent twice by the link or by a resend: the first one's outcome is the outcome.
-            Some(Fate::Running) => return,
-            Some(Fate::Ended(outcome)) => {
+            Some(AttemptOutcome::Running) => return,
+            Some(AttemptOutcome::Ended(outcome)) => {
                 let outcome = outcome.clone();
                 return self.reply(it.reply_to, attempt, it.endpoint, outcome);
             }
@@ -37,7 +37,7 @@
         let executions = self.executions.len();
         let threads = self.options.settings.threads as usize;
         let Some(endpoint) = self.endpoints.get_mut(number) else { return };
-        endpoint.queue.push_back(Queued { request: it, deadline_ms });
+        endpoint.queue.push_back(QueuedRequest { request: it, deadline_ms });
         if endpoint.has_slot() && executions < threads {
             self.run_next(now, number);
         }
@@ -106,8 +106,10 @@
     pub(super) fn drop_late(&mut self, now: Now) {
         let mut late = Vec::new();
         for endpoint in self.endpoints.iter_mut() {
-            let (old, kept) =
-                endpoint.queue.drain(..).partition(|it: &Queued| it.deadline_ms <= now.mono_ms);
+            let (old, kept) = endpoint
+                .queue
+                .drain(..)
+                .partition(|it: &QueuedRequest| it.deadline_ms <= now.mono_ms);
             endpoint.queue = kept;
             late.extend::<std::collections::VecDeque<_>>(old);
         }
@@ -190,8 +192,8 @@
         let attempt = (it.request, it.attempt);
         let is_ours = self.own_sessions.contains(&it.endpoint.session);
         let outcome = match self.seen.get(attempt) {
-            Some(Fate::Running) => ExecuteOutcome::Running,
-            Some(Fate::Ended(outcome)) => outcome.clone(),
+            Some(AttemptOutcome::Running) => ExecuteOutcome::Running,
+            Some(AttemptOutcome::Ended(outcome)) => outcome.clone(),
             // An earlier run of this agent may have run it; nobody can know.
             None if !is_ours => ExecuteOutcome::Failed("the agent restarted meanwhile".into()),
             None if !self.seen.has_room() => ExecuteOutcome::Running,
--- a/src/agent/endpoints.rs
+++ b/src/agent/endpoints.rs
@@ -55,7 +55,7 @@
 
 /// A request that waits for a slot.
 #[derive(Clone, Debug)]
-pub(super) struct Queued {
+pub(super) struct QueuedRequest {
     pub request: Execute,
     pub deadline_ms: u64,
 }
@@ -68,7 +68,7 @@
     pub announced_ms: u64,
     pub leaving: bool,
     pub in_use: u32,
-    pub queue: VecDeque<Queued>,
+    pub queue: VecDeque<QueuedRequest>,
     answers: Histogram<u32>,
 }
 
--- a/src/agent/seen_attempts.rs
+++ b/src/agent/seen_attempts.rs
@@ -12,7 +12,7 @@
 
 /// What became of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Fate {
+pub(super) enum AttemptOutcome {
     /// Waiting for a slot, or running.
     Running,
     Ended(ExecuteOutcome),
@@ -20,20 +20,20 @@
 
 /// The window of attempts seen, bounded in number and in time.
 #[derive(Clone, Debug)]
-pub(super) struct Seen {
-    fates: HashMap<AttemptId, Fate>,
+pub(super) struct SeenAttempts {
+    fates: HashMap<AttemptId, AttemptOutcome>,
     /// Attempts that ended, by when they are forgotten.
     ended: BTreeSet<(u64, AttemptId)>,
     len_max: usize,
     keep_ms: u64,
 }
 
-impl Seen {
-    pub(super) fn new(len_max: usize, keep_ms: u64) -> Seen {
-        Seen { fates: HashMap::new(), ended: BTreeSet::new(), len_max, keep_ms }
+impl SeenAttempts {
+    pub(super) fn new(len_max: usize, keep_ms: u64) -> SeenAttempts {
+        SeenAttempts { fates: HashMap::new(), ended: BTreeSet::new(), len_max, keep_ms }
     }
 
-    pub(super) fn get(&self, id: AttemptId) -> Option<&Fate> {
+    pub(super) fn get(&self, id: AttemptId) -> Option<&AttemptOutcome> {
         self.fates.get(&id)
     }
 
@@ -43,7 +43,7 @@
     }
 
     pub(super) fn begin(&mut self, id: AttemptId) {
-        self.fates.insert(id, Fate::Running);
+        self.fates.insert(id, AttemptOutcome::Running);
     }
 
     /// Keeps how an attempt ended.
@@ -58,7 +58,7 @@
     }
 
     fn keep(&mut self, id: AttemptId, outcome: ExecuteOutcome, until_ms: u64) {
-        self.fates.insert(id, Fate::Ended(outcome));
+        self.fates.insert(id, AttemptOutcome::Ended(outcome));
         self.ended.insert((until_ms, id));
     }
 
--- a/src/bench/batch.rs
+++ b/src/bench/batch.rs
@@ -10,7 +10,7 @@
         Scheduler, SchedulerOptions,
         state::{Change, State},
     },
-    policy::task_queue::Rule,
+    policy::task_queue::RankingRule,
     prelude::*,
     util::Place,
 };
@@ -112,15 +112,18 @@
     vec![
         ("naive: first fit, FIFO", Variant::Naive),
         ("ours", Variant::Ours(ours)),
-        ("ours, FIFO", Variant::Ours(SchedulerOptions { rule: Rule::Fifo, ..ours })),
+        ("ours, FIFO", Variant::Ours(SchedulerOptions { rule: RankingRule::Fifo, ..ours })),
         (
             "ours, shortest remaining",
-            Variant::Ours(SchedulerOptions { rule: Rule::ShortestRemaining, ..ours }),
+            Variant::Ours(SchedulerOptions { rule: RankingRule::ShortestRemaining, ..ours }),
+        ),
+        (
+            "ours, RS",
+            Variant::Ours(SchedulerOptions { rule: RankingRule::RemainingTimesSize, ..ours }),
         ),
-        ("ours, RS", Variant::Ours(SchedulerOptions { rule: Rule::RemainingTimesSize, ..ours })),
         (
             "ours, least attained",
-            Variant::Ours(SchedulerOptions { rule: Rule::LeastAttained, ..ours }),
+            Variant::Ours(SchedulerOptions { rule: RankingRule::LeastAttained, ..ours }),
         ),
         (
             "ours, sizes as declared",
--- a/src/bench/dispatch.rs
+++ b/src/bench/dispatch.rs
@@ -10,7 +10,7 @@
         dispatch::{DispatchOptions, Dispatcher, PlanOptions},
         state::Workflows,
     },
-    link::{Frames, encode_frame},
+    link::{FrameDecoder, encode_frame},
     prelude::*,
 };
 
@@ -221,7 +221,7 @@
         });
         let Ok(frame) = encode_frame(&report, FRAME_MAX_BYTES) else { return };
         let began = Instant::now();
-        let mut frames = Frames::new(FRAME_MAX_BYTES);
+        let mut frames = FrameDecoder::new(FRAME_MAX_BYTES);
         frames.push(&frame);
         // What was just encoded is read back.
         let Ok(Some(Message::NodeReport(report))) = frames.next_frame() else { return };
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -50,7 +50,7 @@
     /// The command line is wrong.
     Usage(String),
     /// The settings are wrong.
-    Settings(Vec<crate::config::Problem>),
+    Settings(Vec<crate::config::SettingsProblem>),
     Failed(error_stack::Report<Error>),
     /// Told already; only the exit code is left.
     Told(u8),
--- a/src/cli/roles.rs
+++ b/src/cli/roles.rs
@@ -7,7 +7,7 @@
     config::load_settings,
     control::log::Identity,
     prelude::*,
-    runtime::{Ending, Process, forward_signals},
+    runtime::{ExitReason, Process, forward_signals},
     util::Place,
 };
 
@@ -42,9 +42,9 @@
     let process = Process::new(settings);
     forward_signals(process.handle())?;
     match process.run()? {
-        Ending::Drained => Ok(()),
-        Ending::CutOff => Err(Failure::Told(4)),
-        Ending::Failed => Err(Failure::Told(1)),
+        ExitReason::Drained => Ok(()),
+        ExitReason::CutOff => Err(Failure::Told(4)),
+        ExitReason::Failed => Err(Failure::Told(1)),
     }
 }
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -5,5 +5,5 @@
 
 pub use self::{
     adopted_configuration::AdoptedConfiguration,
-    settings::{Problem, load_settings, parse_settings, settings_page},
+    settings::{SettingsProblem, load_settings, parse_settings, settings_page},
 };
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -17,7 +17,7 @@
 
 /// One thing wrong with a settings file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Problem {
+pub struct SettingsProblem {
     pub file: CompactString,
     pub section: CompactString,
     pub key: CompactString,
@@ -25,7 +25,7 @@
     pub message: CompactString,
 }
 
-impl fmt::Display for Problem {
+impl fmt::Display for SettingsProblem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (self.section.is_empty(), self.key.is_empty()) {
             (true, _) => write!(f, "{}: {}", self.file, self.message),
@@ -42,7 +42,7 @@
 /// # Errors
 ///
 /// Returns everything that is wrong with it, not only the first.
-pub fn load_settings(path: &Path) -> Result<Settings, Vec<Problem>> {
+pub fn load_settings(path: &Path) -> Result<Settings, Vec<SettingsProblem>> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path)
         .map_err(|it| vec![problem(&file, "", "", &format!("cannot be read: {it}"))])?;
@@ -54,7 +54,7 @@
 /// # Errors
 ///
 /// Returns everything that is wrong with it, not only the first.
-pub fn parse_settings(file: &str, text: &str) -> Result<Settings, Vec<Problem>> {
+pub fn parse_settings(file: &str, text: &str) -> Result<Settings, Vec<SettingsProblem>> {
     let ini = Ini::load_from_str(text)
         .map_err(|it| vec![problem(file, "", "", &format!("is no INI file: {it}"))])?;
     let schema = Schema::new();
@@ -174,8 +174,13 @@
     }
 }
 
-fn problem(file: &str, section: &str, key: &str, message: &str) -> Problem {
-    Problem { file: file.into(), section: section.into(), key: key.into(), message: message.into() }
+fn problem(file: &str, section: &str, key: &str, message: &str) -> SettingsProblem {
+    SettingsProblem {
+        file: file.into(),
+        section: section.into(),
+        key: key.into(),
+        message: message.into(),
+    }
 }
 
 fn parse_value(property: &Value, text: &str) -> Result<Value, String> {
@@ -236,7 +241,7 @@
     section: &str,
     keys: &Map<String, Value>,
     values: &mut Map<String, Value>,
-    problems: &mut Vec<Problem>,
+    problems: &mut Vec<SettingsProblem>,
 ) {
     for (key, property) in keys {
         if values.contains_key(key) {
@@ -265,7 +270,7 @@
 }
 
 /// Checks what no single key shows.
-fn check_whole(file: &str, it: &Settings) -> Result<Settings, Vec<Problem>> {
+fn check_whole(file: &str, it: &Settings) -> Result<Settings, Vec<SettingsProblem>> {
     let mut problems = Vec::new();
     let roles = &it.process.roles;
     let sections = [
@@ -340,7 +345,7 @@
 fn check_dispatch(
     file: &str,
     it: &crate::schema::settings::DispatchSettings,
-    problems: &mut Vec<Problem>,
+    problems: &mut Vec<SettingsProblem>,
 ) {
     check_election(file, "dispatch", it.election_timeout_ms, it.heartbeat_ms, problems);
     if !Path::new(it.data_folder.as_str()).is_dir() {
@@ -354,7 +359,7 @@
     section: &str,
     election_timeout_ms: u32,
     heartbeat_ms: u32,
-    problems: &mut Vec<Problem>,
+    problems: &mut Vec<SettingsProblem>,
 ) {
     if election_timeout_ms < heartbeat_ms * 3 {
         let message = format!(
@@ -367,7 +372,7 @@
 fn check_control(
     file: &str,
     it: &crate::schema::settings::ControlSettings,
-    problems: &mut Vec<Problem>,
+    problems: &mut Vec<SettingsProblem>,
 ) {
     check_election(file, "control", it.election_timeout_ms, it.heartbeat_ms, problems);
     if it.lease_ms < it.election_timeout_ms * 3 {
--- a/src/control/core/workflows.rs
+++ b/src/control/core/workflows.rs
@@ -5,7 +5,7 @@
 use crate::{
     control::{
         core::{ControlCore, Effect, event_logging},
-        dispatch::{Dispatcher, Verdict},
+        dispatch::{Dispatcher, RequestDecision},
         state::Change,
     },
     prelude::*,
@@ -31,12 +31,12 @@
             return self.answer_call(to, WorkflowOutcome::NotLeader(self.leader_address()));
         }
         match Dispatcher::decide(&self.state.workflows, it.request, now) {
-            Verdict::Answer(outcome) => self.answer_call(to, outcome),
-            Verdict::Propose(_) if self.disk_full || self.disk_writes_refused => {
+            RequestDecision::Answer(outcome) => self.answer_call(to, outcome),
+            RequestDecision::Propose(_) if self.disk_full || self.disk_writes_refused => {
                 tracing::warn!(event = "proposal_refused", cause = "disk_full", call = to.id);
                 self.answer_call(to, WorkflowOutcome::Busy(FULL_PAUSE_MS));
             }
-            Verdict::Propose(command) => self.propose_workflow(now, command, Some(to)),
+            RequestDecision::Propose(command) => self.propose_workflow(now, command, Some(to)),
         }
     }
 
--- a/src/control/dispatch/capacity.rs
+++ b/src/control/dispatch/capacity.rs
@@ -9,14 +9,14 @@
 use crate::{
     control::{
         dispatch::{
-            run_monitor::Work,
+            run_monitor::RunKind,
             sessions::{Sessions, UsabilityCriteria},
         },
         state::{Worker, Workflows, add, fits, reservation_of, subtract},
     },
     policy::{
         contention::{
-            ContentionModel, Filler, MEAN_CPU_USE_SHARE, images::ImageKey, reference_cores,
+            ContentionModel, FillerLoad, MEAN_CPU_USE_SHARE, images::ImageKey, reference_cores,
         },
         throttling::NEGLIGIBLE_COST_PERCENT,
     },
@@ -46,20 +46,20 @@
 
 /// What a task needs, with its image by key.
 #[derive(Clone, Copy)]
-pub(super) struct Asked<'a> {
+pub(super) struct TaskDemand<'a> {
     pub step: &'a WorkflowStep,
     pub queue: &'a Queue,
-    pub work: Work,
+    pub work: RunKind,
     pub reserve: Resources,
 }
 
-impl<'a> Asked<'a> {
+impl<'a> TaskDemand<'a> {
     pub(super) fn new(
         step: &'a WorkflowStep,
         queue: &'a Queue,
         harm: &mut ContentionModel,
-    ) -> Asked<'a> {
-        Asked { step, queue, work: Work::of(step, harm), reserve: reservation_of(step) }
+    ) -> TaskDemand<'a> {
+        TaskDemand { step, queue, work: RunKind::of(step, harm), reserve: reservation_of(step) }
     }
 }
 
@@ -85,7 +85,7 @@
         self.rest_percent - HEADROOM_MIN_PERCENT - self.taken_percent
     }
 
-    fn read(&mut self, fillers: &[Filler], harm: &ContentionModel) {
+    fn read(&mut self, fillers: &[FillerLoad], harm: &ContentionModel) {
         let rests = self.groups.iter().map(|it| harm.rest_percent(self.image, *it));
         self.rest_percent = rests.fold(f64::MAX, f64::min);
         self.taken_percent = harm.taken_percent(self.image, fillers);
@@ -96,7 +96,7 @@
 
 /// What is left on one worker.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Room {
+pub(super) struct FreeCapacity {
     pub id: WorkerId,
     service: CompactString,
     kind: CompactString,
@@ -104,19 +104,19 @@
     free: Resources,
     capacity_millicores: u32,
     /// One for each image: together, what its runs use at full speed.
-    fillers: Vec<Filler>,
+    fillers: Vec<FillerLoad>,
     filler_millicores: u32,
     served: Vec<Served>,
 }
 
-impl Room {
+impl FreeCapacity {
     pub(super) fn new(
         workflows: &Workflows,
         id: WorkerId,
         worker: &Worker,
         harm: &mut ContentionModel,
-    ) -> Room {
-        let mut res = Room {
+    ) -> FreeCapacity {
+        let mut res = FreeCapacity {
             id,
             service: worker.service.clone(),
             kind: worker.kind.clone(),
@@ -129,8 +129,8 @@
         };
         for run in &worker.runs {
             let Some(step) = workflows.step_of(run.task) else { continue };
-            match Work::of(step, harm) {
-                Work::Serving { image, .. } => {
+            match RunKind::of(step, harm) {
+                RunKind::Serving { image, .. } => {
                     let served = res.served_of(image);
                     served.millicores += step.need.cpu_millicores;
                     let group = StepRef::of(run.task);
@@ -138,8 +138,10 @@
                         served.groups.push(group);
                     }
                 }
-                Work::Filler { image, millicores } => res.note_filler(image, res.cores(millicores)),
-                Work::Plain => (),
+                RunKind::Filler { image, millicores } => {
+                    res.note_filler(image, res.cores(millicores))
+                }
+                RunKind::Plain => (),
             }
         }
         res.read(harm);
@@ -178,7 +180,7 @@
     fn note_filler(&mut self, image: ImageKey, cores: f64) {
         match self.fillers.iter_mut().find(|it| it.image == image) {
             Some(it) => it.cores += cores,
-            None => self.fillers.push(Filler { image, cores }),
+            None => self.fillers.push(FillerLoad { image, cores }),
         }
     }
 
@@ -210,7 +212,7 @@
         costs.sum::<f64>() * self.cores(millicores)
     }
 
-    fn holds(&self, asked: &Asked<'_>, placed: u32) -> bool {
+    fn holds(&self, asked: &TaskDemand<'_>, placed: u32) -> bool {
         let step = asked.step;
         fits(asked.reserve, self.free)
             && (step.per_worker_max == 0 || placed < step.per_worker_max)
@@ -221,7 +223,7 @@
     /// Returns how much the worker is wanted for a task, or nothing if it cannot take it.
     pub(super) fn offer(
         &self,
-        asked: &Asked<'_>,
+        asked: &TaskDemand<'_>,
         placed: u32,
         care: PlacementMode,
         harm: &ContentionModel,
@@ -234,7 +236,7 @@
         let packed = i64::from(serving) - i64::from(self.idle_millicores());
         let rank = match asked.work {
             // Where it is fast, then where it costs least, then where most is unused.
-            Work::Filler { image, millicores } => {
+            RunKind::Filler { image, millicores } => {
                 let speed = self.speed_of(image, millicores, harm);
                 if care == PlacementMode::ProtectLatency && speed < SPEED_MIN {
                     return None;
@@ -246,7 +248,7 @@
                 ]
             }
             // Images keep to few workers each, so that a filler that harms one finds others.
-            Work::Serving { image, .. } => {
+            RunKind::Serving { image, .. } => {
                 let own = self.served.iter().find(|it| it.image == image);
                 let taken = harm.taken_percent(image, &self.fillers);
                 let own_millicores = own.map_or(0, |it| i64::from(it.millicores));
@@ -258,34 +260,34 @@
                 ]
             }
             // What only reserves is packed, so that some workers are left to fillers.
-            Work::Plain => [packed, 0, 0],
+            RunKind::Plain => [packed, 0, 0],
         };
         let is_near = !step.data_rack.is_empty() && self.rack == step.data_rack;
         Some(Preference { is_near, rank })
     }
 
-    pub(super) fn take(&mut self, asked: &Asked<'_>, harm: &ContentionModel) {
+    pub(super) fn take(&mut self, asked: &TaskDemand<'_>, harm: &ContentionModel) {
         self.free = subtract(self.free, asked.reserve);
         match asked.work {
-            Work::Filler { image, millicores } => {
+            RunKind::Filler { image, millicores } => {
                 self.filler_millicores += millicores;
                 self.change_fillers(image, self.cores(millicores), harm);
             }
-            Work::Serving { image, .. } => {
+            RunKind::Serving { image, .. } => {
                 let taken_percent = harm.taken_percent(image, &self.fillers);
                 let served = self.served_of(image);
                 served.rest_percent = served.rest_percent.min(UNSEEN_REST_PERCENT);
                 served.taken_percent = taken_percent;
                 served.millicores += asked.step.need.cpu_millicores;
             }
-            Work::Plain => (),
+            RunKind::Plain => (),
         }
     }
 
     /// Takes back a placement of a gang that did not fit whole.
-    pub(super) fn give_back(&mut self, asked: &Asked<'_>, harm: &ContentionModel) {
+    pub(super) fn give_back(&mut self, asked: &TaskDemand<'_>, harm: &ContentionModel) {
         self.free = add(self.free, asked.reserve);
-        if let Work::Filler { image, millicores } = asked.work {
+        if let RunKind::Filler { image, millicores } = asked.work {
             self.filler_millicores -= millicores;
             self.change_fillers(image, -self.cores(millicores), harm);
         }
@@ -330,8 +332,8 @@
 
 /// The rooms of all workers in the ledger.
 #[derive(Debug, Default)]
-pub(super) struct Rooms {
-    rooms: BTreeMap<WorkerId, Room>,
+pub(super) struct FreeCapacities {
+    rooms: BTreeMap<WorkerId, FreeCapacity>,
     /// Workers whose runs have changed since their rooms were made.
     stale: BTreeSet<WorkerId>,
     read_at_ms: u64,
@@ -339,7 +341,7 @@
     looks: u64,
 }
 
-impl Rooms {
+impl FreeCapacities {
     /// Returns how many rooms were looked at so far in walks over all of them.
     pub(super) fn looks(&self) -> u64 {
         self.looks
@@ -361,7 +363,7 @@
         workflows: &Workflows,
         harm: &mut ContentionModel,
         id: WorkerId,
-    ) -> Option<&Room> {
+    ) -> Option<&FreeCapacity> {
         if self.stale.remove(&id) {
             self.make(workflows, harm, id);
         }
@@ -386,7 +388,7 @@
         workflows: &Workflows,
         sessions: &Sessions,
         usable: UsabilityCriteria,
-    ) -> Vec<&mut Room> {
+    ) -> Vec<&mut FreeCapacity> {
         self.looks += self.rooms.len() as u64;
         let is_usable = |id| sessions.is_usable(id, usable) && !workflows.is_evacuated(id);
         self.rooms.values_mut().filter(|it| is_usable(it.id)).collect()
@@ -403,7 +405,7 @@
         harm: &mut ContentionModel,
     ) -> Result<(), String> {
         for (id, worker) in workflows.workers().iter().filter(|(id, _)| !self.stale.contains(id)) {
-            let made = Room::new(workflows, id, worker, harm);
+            let made = FreeCapacity::new(workflows, id, worker, harm);
             let kept = self.rooms.get(&id).cloned().map(|mut it| {
                 it.read(harm);
                 it
@@ -421,7 +423,9 @@
 
     fn make(&mut self, workflows: &Workflows, harm: &mut ContentionModel, id: WorkerId) {
         match workflows.workers().get(id) {
-            Some(worker) => drop(self.rooms.insert(id, Room::new(workflows, id, worker, harm))),
+            Some(worker) => {
+                drop(self.rooms.insert(id, FreeCapacity::new(workflows, id, worker, harm)))
+            }
             None => drop(self.rooms.remove(&id)),
         }
     }
--- a/src/control/dispatch/mod.rs
+++ b/src/control/dispatch/mod.rs
@@ -15,19 +15,21 @@
 
 use crate::{
     control::state::Workflows,
-    policy::contention::{ContentionModel, Filler, Serving, headroom_percent, reference_cores},
+    policy::contention::{
+        ContentionModel, FillerLoad, ServingTask, headroom_percent, reference_cores,
+    },
     prelude::*,
 };
 
 use self::{
-    capacity::Rooms,
+    capacity::FreeCapacities,
     lost_workers::LossCause,
     probations::Probations,
-    retention::Readings,
-    run_monitor::{Watch, Work},
+    retention::ClockReadings,
+    run_monitor::{RunKind, RunMonitor},
     sessions::{Sessions, SlowRun, UsabilityCriteria},
 };
-pub use self::{orders::run_name, plan::PlanOptions, requests::Verdict, sessions::Session};
+pub use self::{orders::run_name, plan::PlanOptions, requests::RequestDecision, sessions::Session};
 
 /// How often workflows that ended long ago are forgotten.
 const FORGET_INTERVAL_MS: u64 = 10_000;
@@ -59,7 +61,7 @@
 
 /// What a turn of the dispatcher leads to.
 #[derive(Debug, Default)]
-pub struct Step {
+pub struct DispatchOutput {
     pub commands: Vec<WorkflowCommand>,
     pub messages: Vec<(SocketAddr, Message)>,
 }
@@ -71,26 +73,26 @@
     term: u64,
     sessions: Sessions,
     harm: ContentionModel,
-    rooms: Rooms,
+    rooms: FreeCapacities,
     trials: Probations,
     idle_since: plan::IdleSince,
-    waits: plan::Waits,
+    waits: plan::WaitingSteps,
     /// Runs proposed and not yet in the ledger; the next plan waits for them.
     begin_in_flight: bool,
     planned_ms: u64,
     plan_at_ms: u64,
     plans: u64,
     forget_at_ms: u64,
-    readings: Readings,
+    readings: ClockReadings,
     occupancy_at_ms: u64,
     learn_at_ms: u64,
-    step: Step,
+    step: DispatchOutput,
 }
 
 impl Dispatcher {
     /// Takes over from an earlier leader, whose leases may run for their full time.
     pub fn new(options: DispatchOptions, workflows: &Workflows, term: u64, now: Now) -> Dispatcher {
-        let mut rooms = Rooms::default();
+        let mut rooms = FreeCapacities::default();
         workflows.workers().iter().for_each(|(id, _)| rooms.note_changed(id));
         Dispatcher {
             options,
@@ -100,17 +102,17 @@
             rooms,
             trials: Probations::take_over(workflows, now),
             idle_since: plan::IdleSince::default(),
-            waits: plan::Waits::default(),
+            waits: plan::WaitingSteps::default(),
             begin_in_flight: false,
             planned_ms: 0,
             plans: 0,
             plan_at_ms: now.mono_ms,
             // The first reading is made at once: what ended before this leader is kept from now on.
             forget_at_ms: now.mono_ms,
-            readings: Readings::default(),
+            readings: ClockReadings::default(),
             occupancy_at_ms: now.mono_ms + OCCUPANCY_INTERVAL_MS,
             learn_at_ms: now.mono_ms + LEARN_INTERVAL_MS,
-            step: Step::default(),
+            step: DispatchOutput::default(),
         }
     }
 
@@ -167,7 +169,12 @@
     }
 
     /// Plans if that is due, and returns what is to be proposed and sent.
-    pub fn finish_turn(&mut self, workflows: &Workflows, members: &[SocketAddr], now: Now) -> Step {
+    pub fn finish_turn(
+        &mut self,
+        workflows: &Workflows,
+        members: &[SocketAddr],
+        now: Now,
+    ) -> DispatchOutput {
         if self.plan_at_ms <= now.mono_ms && !self.begin_in_flight {
             self.plan(workflows, members, now);
         }
@@ -295,7 +302,7 @@
             let watch = session
                 .watched
                 .entry(task.run)
-                .or_insert_with(|| Watch::new(workflows, &mut self.harm, task, now.mono_ms));
+                .or_insert_with(|| RunMonitor::new(workflows, &mut self.harm, task, now.mono_ms));
             watch.last_report_number = session.number;
             if watch.observe(task, now.mono_ms) && !watch.evicted {
                 watch.evicted = true;
@@ -307,20 +314,20 @@
                 session.slow.push(SlowRun { run: task.run, worker: id, share, progress_percent });
             }
             match watch.work {
-                Some(Work::Filler { image, .. }) => {
-                    fillers.push(Filler { image, cores: cores(task.load) });
+                Some(RunKind::Filler { image, .. }) => {
+                    fillers.push(FillerLoad { image, cores: cores(task.load) });
                 }
                 // A task that has just begun has no tail yet.
-                Some(Work::Serving { image, target_ms }) if 0 < task.load => {
+                Some(RunKind::Serving { image, target_ms }) if 0 < task.load => {
                     let headroom_percent = headroom_percent(task.load, target_ms);
-                    serving.push(Serving { run: task.run, image, headroom_percent });
+                    serving.push(ServingTask { run: task.run, image, headroom_percent });
                 }
                 _ => (),
             }
         }
         for it in &report.faded {
             let image = self.harm.image(&it.image);
-            fillers.push(Filler { image, cores: cores(it.cpu_millicores) });
+            fillers.push(FillerLoad { image, cores: cores(it.cpu_millicores) });
         }
         if let Some(worker) = workflows.workers().get(id) {
             session.seen.extend(report.running.iter().map(|it| it.run));
--- a/src/control/dispatch/plan/builder.rs
+++ b/src/control/dispatch/plan/builder.rs
@@ -8,9 +8,9 @@
 use crate::{
     control::{
         dispatch::{
-            capacity::{Asked, PlacementMode, Preference, Room},
+            capacity::{FreeCapacity, PlacementMode, Preference, TaskDemand},
             probations::Probations,
-            run_monitor::Work,
+            run_monitor::RunKind,
         },
         state::{StepState, Workflow, Workflows},
     },
@@ -21,7 +21,7 @@
 /// A plan while it is made.
 pub(super) struct PlanBuilder<'a, 'r> {
     workflows: &'a Workflows,
-    rooms: Vec<&'r mut Room>,
+    rooms: Vec<&'r mut FreeCapacity>,
     harm: &'a mut ContentionModel,
     trials: Probations,
     runs: Vec<RunPlacement>,
@@ -44,9 +44,9 @@
 }
 
 impl Unmet {
-    fn new(asked: &Asked<'_>) -> Unmet {
+    fn new(asked: &TaskDemand<'_>) -> Unmet {
         let (filler, filler_millicores) = match asked.work {
-            Work::Filler { image, millicores } => (Some(image), millicores),
+            RunKind::Filler { image, millicores } => (Some(image), millicores),
             _ => (None, 0),
         };
         Unmet {
@@ -73,7 +73,7 @@
 impl<'a, 'r> PlanBuilder<'a, 'r> {
     pub(super) fn new(
         workflows: &'a Workflows,
-        rooms: Vec<&'r mut Room>,
+        rooms: Vec<&'r mut FreeCapacity>,
         harm: &'a mut ContentionModel,
         trials: Probations,
     ) -> PlanBuilder<'a, 'r> {
@@ -85,7 +85,7 @@
         self.workflows
     }
 
-    pub(super) fn rooms(&self) -> &[&'r mut Room] {
+    pub(super) fn rooms(&self) -> &[&'r mut FreeCapacity] {
         &self.rooms
     }
 
@@ -112,7 +112,7 @@
         let Some(queue) = self.workflows.queue(&workflow.queue) else { return };
         let Some(step) = workflow.spec.steps.get(at.step as usize) else { return };
         let Some(state) = state_of(workflow, at) else { return };
-        let asked = Asked::new(step, queue, self.harm);
+        let asked = TaskDemand::new(step, queue, self.harm);
         let need = Unmet::new(&asked);
         if care == PlacementMode::ProtectLatency && self.unmet.iter().any(|it| it.rules_out(&need))
         {
@@ -151,7 +151,7 @@
     fn place_gang(
         &mut self,
         at: StepRef,
-        asked: &Asked<'_>,
+        asked: &TaskDemand<'_>,
         state: &StepState,
         waiting: &[(u32, u32)],
         care: PlacementMode,
@@ -194,7 +194,7 @@
     fn place_tried(
         &mut self,
         at: StepRef,
-        asked: &Asked<'_>,
+        asked: &TaskDemand<'_>,
         state: &StepState,
         tasks: &[(u32, u32)],
         care: PlacementMode,
@@ -227,7 +227,7 @@
     /// there for long.
     fn least_to_lose(
         &self,
-        asked: &Asked<'_>,
+        asked: &TaskDemand<'_>,
         counts: &HashMap<WorkerId, u32>,
         care: PlacementMode,
     ) -> Option<usize> {
@@ -245,7 +245,7 @@
     fn place_tasks(
         &mut self,
         at: StepRef,
-        asked: &Asked<'_>,
+        asked: &TaskDemand<'_>,
         state: &StepState,
         tasks: &[(u32, u32)],
         care: PlacementMode,
@@ -270,11 +270,11 @@
 
     fn offers(
         &self,
-        asked: &Asked<'_>,
+        asked: &TaskDemand<'_>,
         counts: &HashMap<WorkerId, u32>,
         care: PlacementMode,
     ) -> BinaryHeap<(Preference, usize)> {
-        let offer = |(at, room): (usize, &&'r mut Room)| {
+        let offer = |(at, room): (usize, &&'r mut FreeCapacity)| {
             if self.trials.contains(room.id) {
                 return None;
             }
@@ -294,7 +294,7 @@
         let queue = self.workflows.queue(&workflow.queue)?;
         let state = state_of(workflow, at)?;
         let step = workflow.spec.steps.get(at.step as usize)?;
-        let asked = Asked::new(step, queue, self.harm);
+        let asked = TaskDemand::new(step, queue, self.harm);
         let need = Unmet::new(&asked);
         if self.unmet.iter().any(|it| it.rules_out(&need)) {
             return None;
@@ -308,7 +308,7 @@
             return None;
         };
         let speed = match asked.work {
-            Work::Filler { image, millicores } => {
+            RunKind::Filler { image, millicores } => {
                 self.rooms[room].speed_of(image, millicores, self.harm)
             }
             _ => 1.0,
@@ -336,7 +336,7 @@
     room: usize,
     pub worker: WorkerId,
     pub speed: f64,
-    asked: Asked<'a>,
+    asked: TaskDemand<'a>,
 }
 
 fn task_of(at: StepRef, index: u32) -> TaskRef {
--- a/src/control/dispatch/plan/mod.rs
+++ b/src/control/dispatch/plan/mod.rs
@@ -12,7 +12,7 @@
 use crate::{
     control::{
         dispatch::{
-            capacity::{PlacementMode, Room, Rooms},
+            capacity::{FreeCapacities, FreeCapacity, PlacementMode},
             probations::Probations,
             sessions::{Sessions, SlowRun, UsabilityCriteria},
         },
@@ -20,13 +20,13 @@
     },
     policy::{
         contention::ContentionModel,
-        urgency::{Claim, Urgency, urgency},
+        urgency::{PendingStep, Urgency, urgency},
     },
     prelude::*,
 };
 
 use self::builder::PlanBuilder;
-pub(super) use self::waiting_steps::Waits;
+pub(super) use self::waiting_steps::WaitingSteps;
 
 /// What the planner is told by the settings.
 #[derive(Clone, Copy, Debug)]
@@ -66,7 +66,7 @@
 pub(super) struct PlanInput<'a> {
     pub workflows: &'a Workflows,
     pub sessions: &'a Sessions,
-    pub rooms: &'a mut Rooms,
+    pub rooms: &'a mut FreeCapacities,
     pub harm: &'a mut ContentionModel,
     /// Workers where nothing may begin, since a task is tried there.
     pub trials: Probations,
@@ -74,7 +74,11 @@
 }
 
 /// Returns the runs to begin now, and those to move.
-pub(super) fn plan(basis: PlanInput<'_>, idle_since: &mut IdleSince, waits: &mut Waits) -> Plan {
+pub(super) fn plan(
+    basis: PlanInput<'_>,
+    idle_since: &mut IdleSince,
+    waits: &mut WaitingSteps,
+) -> Plan {
     let PlanInput { workflows, sessions, rooms, harm, trials, usable } = basis;
     let now = usable.now;
     let candidates = candidates(workflows, now);
@@ -124,7 +128,7 @@
 }
 
 /// Returns whether so little is reserved that nothing may be kept idle.
-fn has_idle_room(workflows: &Workflows, rooms: &[&mut Room]) -> bool {
+fn has_idle_room(workflows: &Workflows, rooms: &[&mut FreeCapacity]) -> bool {
     let workers = || rooms.iter().filter_map(|it| workflows.workers().get(it.id));
     let used: u64 = workers().map(|it| u64::from(it.used.cpu_millicores)).sum();
     let capacity: u64 = workers().map(|it| u64::from(it.capacity.cpu_millicores)).sum();
@@ -151,7 +155,7 @@
     let chain_ms = tails_ms.iter().copied().max().unwrap_or(0);
     let objective_ms = chain_ms * u64::from(queue.stretch_percent) / 100 + queue.target_ms;
     let step = at.step as usize;
-    let claim = Claim {
+    let claim = PendingStep {
         priority: queue.priority,
         is_long_running: workflow.spec.steps.get(step)?.lasting,
         objective_deadline_ms: workflow.accepted_ms.max(due_ms) + objective_ms,
--- a/src/control/dispatch/plan/waiting_steps.rs
+++ b/src/control/dispatch/plan/waiting_steps.rs
@@ -22,7 +22,7 @@
 
 /// Steps with tasks that last and wait.
 #[derive(Debug, Default)]
-pub(in crate::control::dispatch) struct Waits {
+pub(in crate::control::dispatch) struct WaitingSteps {
     steps: HashMap<StepRef, Wait>,
 }
 
@@ -32,7 +32,7 @@
     shown_ms: u64,
 }
 
-impl Waits {
+impl WaitingSteps {
     /// Forgets all: nothing waits.
     pub(super) fn clear(&mut self) {
         self.steps.clear();
--- a/src/control/dispatch/requests.rs
+++ b/src/control/dispatch/requests.rs
@@ -8,7 +8,7 @@
 
 /// What a request leads to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum RequestDecision {
     /// Answered from the state.
     Answer(WorkflowOutcome),
     /// Answered with what the ledger says of this command.
@@ -17,31 +17,31 @@
 
 impl Dispatcher {
     /// Decides on a request.
-    pub fn decide(workflows: &Workflows, request: WorkflowRequest, now: Now) -> Verdict {
+    pub fn decide(workflows: &Workflows, request: WorkflowRequest, now: Now) -> RequestDecision {
         match request {
-            WorkflowRequest::Ping => Verdict::Answer(WorkflowOutcome::Pong),
-            WorkflowRequest::ReadConfig => Verdict::Answer(match workflows.config() {
+            WorkflowRequest::Ping => RequestDecision::Answer(WorkflowOutcome::Pong),
+            WorkflowRequest::ReadConfig => RequestDecision::Answer(match workflows.config() {
                 Some(it) => WorkflowOutcome::Config((**it).clone()),
                 None => WorkflowOutcome::NoConfig,
             }),
             WorkflowRequest::Install(it) => match check_queues(&it) {
-                Ok(()) => Verdict::Propose(WorkflowCommand::Install(it)),
+                Ok(()) => RequestDecision::Propose(WorkflowCommand::Install(it)),
                 Err(ValidationError(why)) => {
                     tracing::info!(event = "queues_refused", version = it.version, why = %why);
-                    Verdict::Answer(WorkflowOutcome::Invalid(why))
+                    RequestDecision::Answer(WorkflowOutcome::Invalid(why))
                 }
             },
-            WorkflowRequest::ReadEvacuations => Verdict::Answer(evacuations(workflows)),
+            WorkflowRequest::ReadEvacuations => RequestDecision::Answer(evacuations(workflows)),
             WorkflowRequest::Evacuate(it) => evacuate(workflows, it),
             WorkflowRequest::Submit(it) => submit(workflows, it, now),
-            WorkflowRequest::Inspect(it) => Verdict::Answer(inspect(workflows, &it)),
+            WorkflowRequest::Inspect(it) => RequestDecision::Answer(inspect(workflows, &it)),
             WorkflowRequest::Cancel(it) => match find(workflows, &it) {
                 Ok((_, Some(id))) if workflows.get(id).is_some() => {
-                    Verdict::Propose(WorkflowCommand::Cancel(id))
+                    RequestDecision::Propose(WorkflowCommand::Cancel(id))
                 }
-                Ok((_, Some(_))) => Verdict::Answer(WorkflowOutcome::Gone),
-                Ok((_, None)) => Verdict::Answer(WorkflowOutcome::NotFound),
-                Err(it) => Verdict::Answer(it),
+                Ok((_, Some(_))) => RequestDecision::Answer(WorkflowOutcome::Gone),
+                Ok((_, None)) => RequestDecision::Answer(WorkflowOutcome::NotFound),
+                Err(it) => RequestDecision::Answer(it),
             },
         }
     }
@@ -51,18 +51,18 @@
     WorkflowOutcome::Evacuations(workflows.evacuations().clone())
 }
 
-fn evacuate(workflows: &Workflows, it: EvacuateRequest) -> Verdict {
+fn evacuate(workflows: &Workflows, it: EvacuateRequest) -> RequestDecision {
     if let Err(ValidationError(why)) = workflows.evacuations().check(&it) {
         tracing::info!(event = "evacuation_refused", zone = %it.zone, why = %why);
-        return Verdict::Answer(WorkflowOutcome::Invalid(why));
+        return RequestDecision::Answer(WorkflowOutcome::Invalid(why));
     }
     match it.based_on {
         // Whoever asks is told what it would change, and asks again on that ground.
-        None => Verdict::Answer(evacuations(workflows)),
+        None => RequestDecision::Answer(evacuations(workflows)),
         Some(based_on) if based_on != workflows.evacuations().revision => {
-            Verdict::Answer(WorkflowOutcome::Stale)
+            RequestDecision::Answer(WorkflowOutcome::Stale)
         }
-        Some(based_on) => Verdict::Propose(WorkflowCommand::Evacuate(EvacuateZone {
+        Some(based_on) => RequestDecision::Propose(WorkflowCommand::Evacuate(EvacuateZone {
             zone: it.zone,
             evacuated: it.evacuated,
             by: it.by,
@@ -71,22 +71,22 @@
     }
 }
 
-fn submit(workflows: &Workflows, it: WorkflowSubmission, now: Now) -> Verdict {
+fn submit(workflows: &Workflows, it: WorkflowSubmission, now: Now) -> RequestDecision {
     let (queue, id) = match find(workflows, &it.target) {
         Ok((queue, Some(id))) => (queue, id),
-        Ok((_, None)) => return Verdict::Answer(WorkflowOutcome::NotFound),
-        Err(it) => return Verdict::Answer(it),
+        Ok((_, None)) => return RequestDecision::Answer(WorkflowOutcome::NotFound),
+        Err(it) => return RequestDecision::Answer(it),
     };
     if workflows.get(id).is_some() {
-        return Verdict::Answer(WorkflowOutcome::Accepted);
+        return RequestDecision::Answer(WorkflowOutcome::Accepted);
     }
     if queue.needs_ticket {
-        return Verdict::Answer(WorkflowOutcome::Unserved);
+        return RequestDecision::Answer(WorkflowOutcome::Unserved);
     }
     if let Err(ValidationError(why)) = check_spec(&it.spec) {
-        return Verdict::Answer(WorkflowOutcome::Invalid(why));
+        return RequestDecision::Answer(WorkflowOutcome::Invalid(why));
     }
-    Verdict::Propose(WorkflowCommand::Submit(SubmitWorkflow {
+    RequestDecision::Propose(WorkflowCommand::Submit(SubmitWorkflow {
         id,
         queue: queue.name.clone(),
         spec: it.spec,
--- a/src/control/dispatch/retention.rs
+++ b/src/control/dispatch/retention.rs
@@ -10,11 +10,11 @@
 
 /// Readings of the leader's clocks, the oldest first.
 #[derive(Debug, Default)]
-pub(super) struct Readings {
+pub(super) struct ClockReadings {
     readings: VecDeque<Now>,
 }
 
-impl Readings {
+impl ClockReadings {
     /// Takes in a reading; those that are older than the one sought for `age_ms` are dropped.
     pub(super) fn note(&mut self, now: Now, age_ms: u64) {
         self.readings.push_back(now);
--- a/src/control/dispatch/run_monitor.rs
+++ b/src/control/dispatch/run_monitor.rs
@@ -4,15 +4,15 @@
     control::state::Workflows,
     policy::{
         contention::{ContentionModel, images::ImageKey},
-        migration::Speed,
-        worker_health::Progress,
+        migration::RelativeSpeed,
+        worker_health::StallDetector,
     },
     prelude::*,
 };
 
 /// What a run is, by the workflow that it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Work {
+pub enum RunKind {
     /// Serves users of its own under a bound.
     Serving { image: ImageKey, target_ms: u64 },
     /// Takes processor that others leave.
@@ -21,58 +21,58 @@
     Plain,
 }
 
-impl Work {
-    pub(super) fn of(step: &WorkflowStep, harm: &mut ContentionModel) -> Work {
+impl RunKind {
+    pub(super) fn of(step: &WorkflowStep, harm: &mut ContentionModel) -> RunKind {
         match step.filler {
-            true => Work::Filler {
+            true => RunKind::Filler {
                 image: harm.image(&step.image),
                 millicores: step.need.cpu_millicores,
             },
             false if 0 < step.tail_target_ms => {
-                Work::Serving { image: harm.image(&step.image), target_ms: step.tail_target_ms }
+                RunKind::Serving { image: harm.image(&step.image), target_ms: step.tail_target_ms }
             }
-            false => Work::Plain,
+            false => RunKind::Plain,
         }
     }
 }
 
 /// One run that a worker lists.
 #[derive(Clone, Copy, Debug)]
-pub struct Watch {
+pub struct RunMonitor {
     /// When this leader was first told that the worker runs it.
     pub since_ms: u64,
     /// Nothing for a run of no workflow that is known.
-    pub work: Option<Work>,
+    pub work: Option<RunKind>,
     /// Its declared run time, where it should make progress: it does not last, has its processor
     /// to itself, and waits for no other member of a gang.
     estimate_ms: Option<u64>,
     /// It is a filler that may go on elsewhere.
     can_move: bool,
-    progress: Progress,
-    speed: Speed,
+    progress: StallDetector,
+    speed: RelativeSpeed,
     /// It stands still, or goes on elsewhere, and is told to stop.
     pub evicted: bool,
     /// Number of the newest report that lists it.
     pub last_report_number: u64,
 }
 
-impl Watch {
+impl RunMonitor {
     /// Begins to watch a run with the first report that lists it.
     pub(super) fn new(
         workflows: &Workflows,
         harm: &mut ContentionModel,
         task: &RunningTask,
         now_ms: u64,
-    ) -> Watch {
+    ) -> RunMonitor {
         let step = workflows.step_of(task.run.task);
         let can_judge = |it: &&WorkflowStep| !it.lasting && !it.gang;
-        Watch {
+        RunMonitor {
             since_ms: now_ms,
-            work: step.map(|it| Work::of(it, harm)),
+            work: step.map(|it| RunKind::of(it, harm)),
             estimate_ms: step.filter(can_judge).filter(|it| !it.filler).map(|it| it.estimate_ms),
             can_move: step.filter(can_judge).is_some_and(|it| it.filler),
-            progress: Progress::new(task.progress_percent, now_ms),
-            speed: Speed::new(now_ms),
+            progress: StallDetector::new(task.progress_percent, now_ms),
+            speed: RelativeSpeed::new(now_ms),
             evicted: false,
             last_report_number: 0,
         }
@@ -80,7 +80,7 @@
 
     /// Takes in a row of a report; returns whether the run stands still.
     pub(super) fn observe(&mut self, task: &RunningTask, now_ms: u64) -> bool {
-        if let (true, Some(Work::Filler { millicores, .. })) = (self.can_move, self.work) {
+        if let (true, Some(RunKind::Filler { millicores, .. })) = (self.can_move, self.work) {
             self.speed.observe(f64::from(task.load) / f64::from(millicores.max(1)));
         }
         let estimate_ms = self.estimate_ms;
--- a/src/control/dispatch/sessions.rs
+++ b/src/control/dispatch/sessions.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::{
-    control::{dispatch::run_monitor::Watch, state::Workflows},
+    control::{dispatch::run_monitor::RunMonitor, state::Workflows},
     policy::worker_health::WorkerHealth,
     prelude::*,
 };
@@ -26,7 +26,7 @@
     pub report: Option<WorkerReport>,
     pub soundness: WorkerHealth,
     /// The runs that the newest report lists.
-    pub watched: HashMap<RunRef, Watch>,
+    pub watched: HashMap<RunRef, RunMonitor>,
     /// The runs held there that a report has listed as running so far.
     pub seen: HashSet<RunRef>,
     /// Those that the newest report lists, and that are fillers and slow.
--- a/src/control/log/disk.rs
+++ b/src/control/log/disk.rs
@@ -14,7 +14,7 @@
 use ini::Ini;
 
 use crate::{
-    control::log::record::{self, DiskWrite, HardState, Record, RecoveredState, Snapshot, Tail},
+    control::log::record::{self, DiskWrite, HardState, LogTail, Record, RecoveredState, Snapshot},
     prelude::*,
     util::{Place, checksum},
 };
@@ -437,12 +437,12 @@
         recovered.replay(it.record)?;
     }
     match record::judge_tail(&data, offset) {
-        Tail::Whole => (),
-        Tail::Torn => {
+        LogTail::Whole => (),
+        LogTail::Torn => {
             let torn_bytes = data.len() - offset;
             tracing::warn!(event = "log_tail_cut", path = %path.display(), offset_bytes = offset, torn_bytes);
         }
-        Tail::Corrupt => {
+        LogTail::Corrupt => {
             let message = format_compact!(
                 "{} is corrupt at byte {offset}, before records known to be durable: this member must not vote; \
                  replace its disk",
--- a/src/control/log/record.rs
+++ b/src/control/log/record.rs
@@ -143,7 +143,7 @@
 
 /// What is wrong at the end of the readable records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Tail {
+pub(super) enum LogTail {
     Whole,
     /// A write was cut short; what stands there was never acknowledged.
     Torn,
@@ -152,14 +152,14 @@
 }
 
 /// Judges what follows the last readable record, which ends at `offset`.
-pub(super) fn judge_tail(data: &[u8], offset: usize) -> Tail {
+pub(super) fn judge_tail(data: &[u8], offset: usize) -> LogTail {
     if offset == data.len() {
-        return Tail::Whole;
+        return LogTail::Whole;
     }
     let vouched = (offset + 1..data.len())
         .filter_map(|at| decode(&data[at..]))
         .any(|it| offset < it.durable_bytes as usize);
-    if vouched { Tail::Corrupt } else { Tail::Torn }
+    if vouched { LogTail::Corrupt } else { LogTail::Torn }
 }
 
 /// Returns about how much memory an entry takes; exact where it is large.
--- a/src/control/scheduler/costs.rs
+++ b/src/control/scheduler/costs.rs
@@ -8,7 +8,7 @@
         state::{NO_RESOURCES, State, Task, Vm},
     },
     policy::{
-        placement::{Cost, Room},
+        placement::{FreeVmCapacity, PlacementCost},
         task_queue::Tier,
     },
     prelude::*,
@@ -103,7 +103,7 @@
     }
 }
 
-impl Cost for Costs<'_> {
+impl PlacementCost for Costs<'_> {
     fn interference(&self, id: VmId) -> f64 {
         if self.task.failed_on.contains(&id) {
             return 1e6;
@@ -125,7 +125,7 @@
         (cost * 8.0).round() / 8.0
     }
 
-    fn neighbours(&self, room: &Room) -> (u32, u32) {
+    fn neighbours(&self, room: &FreeVmCapacity) -> (u32, u32) {
         let zone =
             self.places.iter().filter(|((zone, _), _)| *zone == room.zone).map(|(_, it)| it).sum();
         let rack = self.places.get(&(room.zone.as_str(), room.rack.as_str())).copied().unwrap_or(0);
--- a/src/control/scheduler/mitigation.rs
+++ b/src/control/scheduler/mitigation.rs
@@ -6,8 +6,8 @@
         state::{State, Vm},
     },
     policy::{
-        feedback::{Action, Report},
-        preemption::Purpose,
+        feedback::{FeedbackAction, TailLatencyReport},
+        preemption::EvictionPurpose,
     },
     prelude::*,
 };
@@ -53,7 +53,8 @@
         match worst {
             Some((tail_ms, target_ms, class)) if self.options.uses_feedback => {
                 let unthrottled_tail_ms = self.tail_if_released(vm, &class, tail_ms);
-                let report = Report { tail_ms, unthrottled_tail_ms, target_ms, lag_ms: age_ms };
+                let report =
+                    TailLatencyReport { tail_ms, unthrottled_tail_ms, target_ms, lag_ms: age_ms };
                 self.feed_back(state, vm, &class, report, now)
             }
             _ => Vec::new(),
@@ -79,7 +80,7 @@
         state: &State,
         vm: &Vm,
         class: &str,
-        report: Report,
+        report: TailLatencyReport,
         now: Now,
     ) -> Vec<TaskEventCommand> {
         let harm_of = |id: &TaskId| {
@@ -95,12 +96,12 @@
         let action = feedback.observe(now.mono_ms, report, worst.map(|(_, id)| id));
         let mut plan = Plan::default();
         match action {
-            Action::None => (),
-            Action::Throttle { task, permille } => self.throttle(task, permille),
+            FeedbackAction::None => (),
+            FeedbackAction::Throttle { task, permille } => self.throttle(task, permille),
             // Told to the agent as a throttle that leaves everything.
-            Action::Release { task } => self.throttle(task, FREE_PERMILLE),
-            Action::Move { task } => {
-                if self.may_evict(state, &[task], now, Purpose::Relief) {
+            FeedbackAction::Release { task } => self.throttle(task, FREE_PERMILLE),
+            FeedbackAction::Move { task } => {
+                if self.may_evict(state, &[task], now, EvictionPurpose::Relief) {
                     self.evict(state, task, &mut plan);
                 } else if let Some(it) = self.loops.get_mut(&vm.id) {
                     it.restore_throttled(task);
--- a/src/control/scheduler/mod.rs
+++ b/src/control/scheduler/mod.rs
@@ -16,16 +16,19 @@
     control::scheduler::{
         costs::Costs,
         placed_tasks::{PlacedTask, PlacedTasks},
-        reserve::Reserve,
+        reserve::UrgentReserve,
     },
     control::state::{Change, State, Task, Vm, subtract},
     policy::{
         feedback::{self},
-        interference::{Pairs, Past},
-        placement::{Index, PlacementStrategy, Room},
+        interference::{InterferenceModel, WorkloadHistory},
+        placement::{FreeCapacityIndex, FreeVmCapacity, PlacementStrategy},
         preemption::EvictionBudget,
         run_times::RunTimeEstimates,
-        task_queue::{self, Candidate, Facts, Queue, Rule, Runs, Tier, Waiting},
+        task_queue::{
+            self, RankingInput, RankingRule, RunChange, StartCandidate, TaskQueue, Tier,
+            WaitingTask,
+        },
     },
     prelude::*,
 };
@@ -45,7 +48,7 @@
 /// What the scheduler is told by settings, and what experiments switch off.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SchedulerOptions {
-    pub rule: Rule,
+    pub rule: RankingRule,
     pub task_failures_max: u32,
     pub vm_failures_max: u32,
     pub quarantine_ms: u64,
@@ -59,7 +62,7 @@
 impl Default for SchedulerOptions {
     fn default() -> SchedulerOptions {
         SchedulerOptions {
-            rule: Rule::default(),
+            rule: RankingRule::default(),
             task_failures_max: 3,
             vm_failures_max: 3,
             quarantine_ms: 60_000,
@@ -82,7 +85,7 @@
 
 /// A start proposed, or room kept for one.
 #[derive(Clone, Copy, Debug)]
-struct Hold {
+struct Reservation {
     vm: VmId,
     need: Resources,
     until_ms: u64,
@@ -92,19 +95,19 @@
 #[derive(Debug)]
 pub struct Scheduler {
     options: SchedulerOptions,
-    queue: Queue,
-    index: Index,
+    queue: TaskQueue,
+    index: FreeCapacityIndex,
     times: RunTimeEstimates,
-    pairs: Pairs,
-    past: Past,
-    loops: HashMap<VmId, feedback::Loop>,
+    pairs: InterferenceModel,
+    past: WorkloadHistory,
+    loops: HashMap<VmId, feedback::FeedbackLoop>,
     /// Classes that answer quick requests on a VM, by its agent's last report.
     services: HashMap<VmId, Vec<CompactString>>,
     placed_tasks: PlacedTasks,
-    reserve: Reserve,
+    reserve: UrgentReserve,
     /// Urgent tasks not counted as arrived yet.
     arrived: Vec<Resources>,
-    holds: BTreeMap<TaskId, Hold>,
+    holds: BTreeMap<TaskId, Reservation>,
     reservations_by_vm: HashMap<VmId, Vec<TaskId>>,
     throttles: HashMap<TaskId, u32>,
     evicting: HashSet<TaskId>,
@@ -123,15 +126,15 @@
     pub fn new(state: &State, options: SchedulerOptions) -> Scheduler {
         let mut res = Scheduler {
             options,
-            queue: Queue::default(),
-            index: Index::default(),
+            queue: TaskQueue::default(),
+            index: FreeCapacityIndex::default(),
             times: RunTimeEstimates::default(),
-            pairs: Pairs::default(),
-            past: Past::default(),
+            pairs: InterferenceModel::default(),
+            past: WorkloadHistory::default(),
             loops: HashMap::new(),
             services: HashMap::new(),
             placed_tasks: PlacedTasks::default(),
-            reserve: Reserve::default(),
+            reserve: UrgentReserve::default(),
             arrived: Vec::new(),
             holds: BTreeMap::new(),
             reservations_by_vm: HashMap::new(),
@@ -158,7 +161,7 @@
     }
 
     /// Returns the tasks that wait.
-    pub fn queue(&self) -> &Queue {
+    pub fn queue(&self) -> &TaskQueue {
         &self.queue
     }
 
@@ -169,7 +172,7 @@
 
     /// Returns the VMs where new batch work is kept away.
     pub fn is_closed(&self, vm: VmId) -> bool {
-        self.loops.get(&vm).is_some_and(feedback::Loop::is_closed)
+        self.loops.get(&vm).is_some_and(feedback::FeedbackLoop::is_closed)
     }
 
     /// Takes in a change of the state.
@@ -224,12 +227,12 @@
                 let millicores = u64::from(need.cpu_millicores);
                 let resident =
                     PlacedTask { team: job.team.clone(), need, vm: placement.vm, kind, millicores };
-                self.queue.record_run_change(&job.team, need, Runs::Starts);
+                self.queue.record_run_change(&job.team, need, RunChange::Starts);
                 self.placed_tasks.add(id, resident);
             }
             (None, true) => {
                 if let Some(it) = self.placed_tasks.remove(id) {
-                    self.queue.record_run_change(&it.team, it.need, Runs::Ends);
+                    self.queue.record_run_change(&it.team, it.need, RunChange::Ends);
                 }
                 self.evicting.remove(&id);
                 if self.throttles.remove(&id).is_some() {
@@ -258,7 +261,7 @@
         }
     }
 
-    fn waiting_of(&self, state: &State, task: &Task, need: Resources) -> Waiting {
+    fn waiting_of(&self, state: &State, task: &Task, need: Resources) -> WaitingTask {
         let job = state.jobs.job_of(task);
         let class = job.and_then(|it| state.class(&it.spec.class));
         let declared_ms = job.map_or(1, |it| it.spec.declared_run_ms);
@@ -269,7 +272,7 @@
             _ => declared_ms,
         };
         let accepted_ms = job.map_or(0, |it| it.accepted_ms);
-        let facts = Facts { size_ms, attained_ms: task.kept_run_ms, accepted_ms };
+        let facts = RankingInput { size_ms, attained_ms: task.kept_run_ms, accepted_ms };
         let remaining_ms = size_ms.saturating_sub(task.kept_run_ms);
         let due_ms = class
             .filter(|it| 0 < it.finish_target_ms)
@@ -279,7 +282,7 @@
             Some(it) if it.kind == ClassKind::LatencyCritical => Tier::Service,
             _ => Tier::Batch,
         };
-        Waiting {
+        WaitingTask {
             task: task.id,
             tier,
             rank: task_queue::rank(self.options.rule, facts),
@@ -346,19 +349,19 @@
                 .flatten()
                 .filter_map(|it| self.holds.get(it));
             let free = held.fold(vm.free(), |free, it| subtract(free, it.need));
-            Room { free, zone: vm.zone.clone(), rack: vm.rack.clone() }
+            FreeVmCapacity { free, zone: vm.zone.clone(), rack: vm.rack.clone() }
         });
         self.index.set(id, room);
     }
 
-    fn hold(&mut self, state: &State, task: TaskId, it: Hold) {
+    fn hold(&mut self, state: &State, task: TaskId, it: Reservation) {
         self.release_reservation(task);
         self.holds.insert(task, it);
         self.reservations_by_vm.entry(it.vm).or_default().push(task);
         self.refresh_free_capacity(state, it.vm);
     }
 
-    fn release_reservation(&mut self, task: TaskId) -> Option<Hold> {
+    fn release_reservation(&mut self, task: TaskId) -> Option<Reservation> {
         let hold = self.holds.remove(&task)?;
         if let Some(list) = self.reservations_by_vm.get_mut(&hold.vm) {
             list.retain(|it| *it != task);
@@ -415,7 +418,7 @@
         let Some((it, task)) = probe.and_then(|it| Some((it, state.jobs.task(it.task)?))) else {
             return;
         };
-        let hold = Hold { vm: vm.id, need: it.need, until_ms: now.mono_ms + HOLD_MS };
+        let hold = Reservation { vm: vm.id, need: it.need, until_ms: now.mono_ms + HOLD_MS };
         self.hold(state, it.task, hold);
         plan.starts.push(StartCommand {
             task: it.task,
@@ -425,7 +428,7 @@
         });
     }
 
-    fn try_candidate(&mut self, state: &State, it: &Candidate, now: Now, plan: &mut Plan) {
+    fn try_candidate(&mut self, state: &State, it: &StartCandidate, now: Now, plan: &mut Plan) {
         let Some(task) = state.jobs.task(it.task).filter(|it| it.state.is_waiting()) else {
             return;
         };
@@ -471,7 +474,7 @@
                 self.hold(
                     state,
                     it.task,
-                    Hold { vm, need: it.need, until_ms: now.mono_ms + HOLD_MS / 4 },
+                    Reservation { vm, need: it.need, until_ms: now.mono_ms + HOLD_MS / 4 },
                 );
             }
             None if it.tier == Tier::Urgent && self.options.preempts && held.is_none() => {
@@ -482,7 +485,7 @@
     }
 
     /// Returns whether a hold stands for a start that was proposed and is not applied yet.
-    fn is_proposed(&self, hold: Hold, now: Now) -> bool {
+    fn is_proposed(&self, hold: Reservation, now: Now) -> bool {
         hold.until_ms <= now.mono_ms + HOLD_MS / 4
     }
 
--- a/src/control/scheduler/reserve.rs
+++ b/src/control/scheduler/reserve.rs
@@ -22,11 +22,11 @@
 
 /// The urgent arrivals of late.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Reserve {
+pub(super) struct UrgentReserve {
     arrivals: VecDeque<(u64, Resources)>,
 }
 
-impl Reserve {
+impl UrgentReserve {
     /// Notes the arrival of an urgent task.
     pub(super) fn note_arrival(&mut self, now: Now, need: Resources) {
         self.arrivals.push_back((now.mono_ms, need));
@@ -58,6 +58,6 @@
 
     /// Returns the keys of all places.
     pub(super) fn keys() -> impl Iterator<Item = TaskId> {
-        (0..PLACES_MAX).map(Reserve::key_of)
+        (0..PLACES_MAX).map(UrgentReserve::key_of)
     }
 }
--- a/src/control/scheduler/urgent.rs
+++ b/src/control/scheduler/urgent.rs
@@ -4,12 +4,14 @@
 
 use crate::{
     control::{
-        scheduler::{HOLD_MS, Hold, Plan, Scheduler, VICTIM_VMS, is_open, reserve::Reserve},
+        scheduler::{
+            HOLD_MS, Plan, Reservation, Scheduler, VICTIM_VMS, is_open, reserve::UrgentReserve,
+        },
         state::{State, Vm, subtract},
     },
     policy::{
-        preemption::{EvictionBudget, Purpose, Victim, choose_victims},
-        task_queue::Candidate,
+        preemption::{EvictionBudget, EvictionPurpose, Victim, choose_victims},
+        task_queue::StartCandidate,
     },
     prelude::*,
 };
@@ -22,7 +24,7 @@
         }
         let (count, need) = self.reserve.wanted(now);
         let count = if self.options.reserves { count } else { 0 };
-        for (at, key) in Reserve::keys().enumerate() {
+        for (at, key) in UrgentReserve::keys().enumerate() {
             let held = self.holds.get(&key).copied();
             let is_open =
                 held.is_some_and(|it| state.vms.get(it.vm).is_some_and(|vm| is_open(state, vm)));
@@ -38,7 +40,7 @@
             if at < count
                 && let Some(vm) = self.index.vm_with_most_free_cpu()
             {
-                self.hold(state, key, Hold { vm, need, until_ms: u64::MAX });
+                self.hold(state, key, Reservation { vm, need, until_ms: u64::MAX });
             }
         }
     }
@@ -51,11 +53,17 @@
             let hold = self.holds.get(&key)?;
             self.fits_reservation(state, hold.vm, need, key).then_some(hold.vm)
         };
-        Reserve::keys().find_map(has_room)
+        UrgentReserve::keys().find_map(has_room)
     }
 
     /// Makes room for an urgent task by evicting batch work on one VM.
-    pub(super) fn preempt(&mut self, state: &State, it: &Candidate, now: Now, plan: &mut Plan) {
+    pub(super) fn preempt(
+        &mut self,
+        state: &State,
+        it: &StartCandidate,
+        now: Now,
+        plan: &mut Plan,
+    ) {
         let after = state.vms.iter().filter(|vm| self.victim_cursor < vm.id);
         let before = state.vms.iter().filter(|vm| vm.id <= self.victim_cursor);
         let looked_at: Vec<_> = after.chain(before).take(VICTIM_VMS).collect();
@@ -79,13 +87,17 @@
             }
         }
         let Some((_, vm, victims)) = best else { return };
-        if !self.may_evict(state, &victims, now, Purpose::UrgentStart) {
+        if !self.may_evict(state, &victims, now, EvictionPurpose::UrgentStart) {
             return;
         }
         for id in victims {
             self.evict(state, id, plan);
         }
-        self.hold(state, it.task, Hold { vm, need: it.need, until_ms: now.mono_ms + HOLD_MS });
+        self.hold(
+            state,
+            it.task,
+            Reservation { vm, need: it.need, until_ms: now.mono_ms + HOLD_MS },
+        );
     }
 
     pub(super) fn victims_on(&self, state: &State, vm: &Vm, now: Now) -> Vec<Victim> {
@@ -115,7 +127,7 @@
         state: &State,
         tasks: &[TaskId],
         now: Now,
-        purpose: Purpose,
+        purpose: EvictionPurpose,
     ) -> bool {
         let mut by_class: BTreeMap<&CompactString, (u32, u32)> = BTreeMap::new();
         for id in tasks {
--- a/src/control/state/jobs.rs
+++ b/src/control/state/jobs.rs
@@ -5,7 +5,7 @@
 use crate::{
     control::state::{
         Change, ReplyResult, State,
-        task::{Placement, Step, Task, transition},
+        task::{Placement, Task, TaskTransition, transition},
         vms::{self, fits},
     },
     prelude::*,
@@ -239,7 +239,7 @@
             let state_of = |id: &TaskId| self.jobs.task(*id).map(|it| it.state);
             completed += u32::from(ids.iter().all(|it| state_of(it) == Some(TaskState::Completed)));
             for task in ids {
-                self.step(task, Step::Cancel, changes);
+                self.step(task, TaskTransition::Cancel, changes);
             }
         }
         if completed as usize == it.jobs.len() {
@@ -270,7 +270,7 @@
             task.incarnation = it.incarnation;
             task.placement = Some(placement);
         }
-        self.step(it.task, Step::Start, changes);
+        self.step(it.task, TaskTransition::Start, changes);
         Ok(Reply::Done)
     }
 
@@ -285,13 +285,13 @@
             return Err(refusal(ErrorKind::StaleSession, "the task has another incarnation"));
         };
         let step = match &it.event {
-            TaskEvent::Running => Step::Running,
-            TaskEvent::Completed(_) => Step::Completed,
-            TaskEvent::Failed(_) => Step::Failed,
-            TaskEvent::EvictRequested => Step::EvictRequested,
-            TaskEvent::Evicted(_) => Step::Evicted,
-            TaskEvent::Stopped => Step::Stopped,
-            TaskEvent::DeadLetter(_) => Step::DeadLetter,
+            TaskEvent::Running => TaskTransition::Running,
+            TaskEvent::Completed(_) => TaskTransition::Completed,
+            TaskEvent::Failed(_) => TaskTransition::Failed,
+            TaskEvent::EvictRequested => TaskTransition::EvictRequested,
+            TaskEvent::Evicted(_) => TaskTransition::Evicted,
+            TaskEvent::Stopped => TaskTransition::Stopped,
+            TaskEvent::DeadLetter(_) => TaskTransition::DeadLetter,
         };
         if transition(task.state, step, !task.checkpoint.is_empty()).is_none() {
             let detail = format_compact!("a task that is {} takes no {step:?}", task.state);
@@ -309,13 +309,13 @@
             }
             _ => (),
         }
-        if let (Step::Failed, Some(vm)) = (step, vm)
+        if let (TaskTransition::Failed, Some(vm)) = (step, vm)
             && !task.failed_on.contains(&vm)
         {
             task.failed_on.push(vm);
         }
-        if let (Step::Completed | Step::Failed, Some(vm)) = (step, vm) {
-            self.vms.note_outcome(vm, step == Step::Completed, self.time_ms);
+        if let (TaskTransition::Completed | TaskTransition::Failed, Some(vm)) = (step, vm) {
+            self.vms.note_outcome(vm, step == TaskTransition::Completed, self.time_ms);
             changes.push(Change::Vm(vm));
         }
         self.step(it.task, step, changes);
@@ -323,13 +323,15 @@
     }
 
     /// Moves one task along the table, and keeps ledger and job in step with it.
-    pub(super) fn step(&mut self, id: TaskId, step: Step, changes: &mut Vec<Change>) {
+    pub(super) fn step(&mut self, id: TaskId, step: TaskTransition, changes: &mut Vec<Change>) {
         let time_ms = self.time_ms;
         let Some(task) = self.jobs.tasks.get_mut(&id) else { return };
         let Some(next) = transition(task.state, step, !task.checkpoint.is_empty()) else { return };
         let before = std::mem::replace(&mut task.state, next);
         let job = task.job;
-        if matches!(step, Step::Evicted | Step::Lost | Step::Stopped) && next.is_waiting() {
+        if matches!(step, TaskTransition::Evicted | TaskTransition::Lost | TaskTransition::Stopped)
+            && next.is_waiting()
+        {
             task.evictions += 1;
         }
         if next.is_waiting() {
--- a/src/control/state/mod.rs
+++ b/src/control/state/mod.rs
@@ -21,7 +21,7 @@
     claims::Claims,
     configuration::{ConfigHistory, ConfigHistoryEntry},
     jobs::{Job, Jobs},
-    task::{Placement, STEPS, Step, Task, transition},
+    task::{Placement, STEPS, Task, TaskTransition, transition},
     vms::{NO_RESOURCES, Session, Vm, Vms, add, fits, subtract},
     watches::{Watch, Watches},
     workflows::{
--- a/src/control/state/task.rs
+++ b/src/control/state/task.rs
@@ -52,7 +52,7 @@
 
 /// What moves a task from one state to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum TaskTransition {
     Start,
     Running,
     Completed,
@@ -67,44 +67,54 @@
 }
 
 /// Every step, for tests over the whole table.
-pub const STEPS: &[Step] = &[
-    Step::Start,
-    Step::Running,
-    Step::Completed,
-    Step::Failed,
-    Step::EvictRequested,
-    Step::Evicted,
-    Step::Stopped,
-    Step::Lost,
-    Step::Cancel,
-    Step::DeadLetter,
+pub const STEPS: &[TaskTransition] = &[
+    TaskTransition::Start,
+    TaskTransition::Running,
+    TaskTransition::Completed,
+    TaskTransition::Failed,
+    TaskTransition::EvictRequested,
+    TaskTransition::Evicted,
+    TaskTransition::Stopped,
+    TaskTransition::Lost,
+    TaskTransition::Cancel,
+    TaskTransition::DeadLetter,
 ];
 
 /// Returns the state that `step` leads to, or nothing where the step is refused.
 ///
 /// `has_checkpoint` says whether the task resumes from one.
-pub fn transition(state: TaskState, step: Step, has_checkpoint: bool) -> Option<TaskState> {
+pub fn transition(
+    state: TaskState,
+    step: TaskTransition,
+    has_checkpoint: bool,
+) -> Option<TaskState> {
     use TaskState::*;
     let waiting = if has_checkpoint { Evicted } else { Queued };
     match (state, step) {
-        (Queued, Step::Start) => Some(Starting),
-        (Evicted, Step::Start) => Some(Resuming),
-        (Starting | Resuming, Step::Running) => Some(Running),
+        (Queued, TaskTransition::Start) => Some(Starting),
+        (Evicted, TaskTransition::Start) => Some(Resuming),
+        (Starting | Resuming, TaskTransition::Running) => Some(Running),
         // A completion wins over an eviction and over a cancellation that were only asked for:
         // the work is done, and doing it again or throwing it away would cost a caller twice.
-        (Starting | Resuming | Running | Checkpointing | Stopping, Step::Completed) => {
+        (Starting | Resuming | Running | Checkpointing | Stopping, TaskTransition::Completed) => {
             Some(Completed)
         }
         (
             Starting | Resuming | Running | Checkpointing,
-            Step::Failed | Step::Stopped | Step::Lost,
+            TaskTransition::Failed | TaskTransition::Stopped | TaskTransition::Lost,
         ) => Some(waiting),
-        (Starting | Resuming | Running, Step::EvictRequested) => Some(Checkpointing),
-        (Starting | Resuming | Running | Checkpointing, Step::Evicted) => Some(waiting),
-        (Stopping, Step::Failed | Step::Stopped | Step::Lost | Step::Evicted) => Some(Cancelled),
-        (Queued | Evicted, Step::Cancel) => Some(Cancelled),
-        (Starting | Resuming | Running | Checkpointing, Step::Cancel) => Some(Stopping),
-        (Queued | Evicted, Step::DeadLetter) => Some(DeadLetter),
+        (Starting | Resuming | Running, TaskTransition::EvictRequested) => Some(Checkpointing),
+        (Starting | Resuming | Running | Checkpointing, TaskTransition::Evicted) => Some(waiting),
+        (
+            Stopping,
+            TaskTransition::Failed
+            | TaskTransition::Stopped
+            | TaskTransition::Lost
+            | TaskTransition::Evicted,
+        ) => Some(Cancelled),
+        (Queued | Evicted, TaskTransition::Cancel) => Some(Cancelled),
+        (Starting | Resuming | Running | Checkpointing, TaskTransition::Cancel) => Some(Stopping),
+        (Queued | Evicted, TaskTransition::DeadLetter) => Some(DeadLetter),
         _ => None,
     }
 }
--- a/src/control/state/vms.rs
+++ b/src/control/state/vms.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{
-    control::state::{Change, ReplyResult, State, task::Step},
+    control::state::{Change, ReplyResult, State, task::TaskTransition},
     prelude::*,
 };
 
@@ -190,7 +190,7 @@
         vm.changed_ms = time_ms;
         let (id, tasks) = (vm.id, vm.tasks.clone());
         for task in tasks {
-            self.step(task, Step::Lost, changes);
+            self.step(task, TaskTransition::Lost, changes);
         }
         self.claims.end_session(it.session, time_ms);
         changes.push(Change::Vm(id));
--- a/src/control/state/workflows/failures.rs
+++ b/src/control/state/workflows/failures.rs
@@ -13,7 +13,7 @@
 
 /// The failures that are to be settled, and the starts of gangs that have failed.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
-pub(super) struct Failures {
+pub(super) struct UnsettledFailures {
     open: BTreeMap<WorkerId, Vec<UnsettledFailure>>,
     /// Those of lifetimes that were given up, by their names: what they know shows once they are
     /// back, and until then their tasks wait.
@@ -41,7 +41,7 @@
     failures: Vec<UnsettledFailure>,
 }
 
-impl Failures {
+impl UnsettledFailures {
     /// Notes a failure that was listed up to a cursor.
     pub(super) fn open(&mut self, worker: WorkerId, end: RunEnd, cursor: u64) {
         self.open.entry(worker).or_default().push(UnsettledFailure { worker, end, cursor });
--- a/src/control/state/workflows/mod.rs
+++ b/src/control/state/workflows/mod.rs
@@ -20,7 +20,7 @@
 use crate::prelude::*;
 
 use self::{
-    failures::Failures,
+    failures::UnsettledFailures,
     suspects::{Crash, CrashedRun, is_crash},
 };
 pub use self::{
@@ -48,7 +48,7 @@
     /// From here on what snapshots of earlier versions end before.
     evacuations: Evacuations,
     suspects: Suspects,
-    failures: Failures,
+    failures: UnsettledFailures,
 }
 
 impl Workflows {
--- a/src/control/state/workflows/suspects.rs
+++ b/src/control/state/workflows/suspects.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     policy::crash_evidence::{
-        Background, CRASH_RATE_WINDOW_MS, CrashEvidence, is_surely_too_old_to_suspect,
+        BaselineCrashRate, CRASH_RATE_WINDOW_MS, CrashEvidence, is_surely_too_old_to_suspect,
         is_too_old_to_suspect,
     },
     prelude::*,
@@ -146,7 +146,7 @@
     ) -> Option<CrashEvidence> {
         let before = self.get(it.task).unwrap_or_default();
         let crashes = self.crashes_ms.len().saturating_sub(before.losses as usize);
-        let background = Background { crashes, workers };
+        let background = BaselineCrashRate { crashes, workers };
         match it.was_seen {
             false if is_surely_too_old_to_suspect(it.age_ms) => None,
             false => Some(before.after_unobserved_crash()),
--- a/src/entry/core/admission.rs
+++ b/src/entry/core/admission.rs
@@ -5,10 +5,10 @@
 use crate::{
     entry::{
         core::{EntryCore, LOOKUPS_MAX, class_queue},
-        pending_request::{PendingRequestKey, Quick, Stage},
+        pending_request::{PendingRequest, PendingRequestKey, Stage},
         request::{CallerAnswer, QuickRequest},
     },
-    policy::admission::{self, Rejection, Waiting},
+    policy::admission::{self, Rejection, WaitingRequest},
     prelude::*,
     util::digest_of,
 };
@@ -89,7 +89,7 @@
         let deadline_ms = now.mono_ms + u64::from(quick.deadline_ms);
         *self.by_team.entry(team.clone()).or_insert(0) += 1;
         let digest = digest_of(&[quick.class.as_bytes(), quick.path.as_bytes(), &quick.body]);
-        let key = self.quicks.insert(Quick {
+        let key = self.quicks.insert(PendingRequest {
             token: Some(token),
             request,
             team,
@@ -163,7 +163,7 @@
         let Some(quick) = self.quicks.get(key) else { return };
         let class = quick.quick.class.clone();
         let team = quick.team.clone();
-        let waiting = Waiting { key, deadline_ms: quick.deadline_ms };
+        let waiting = WaitingRequest { key, deadline_ms: quick.deadline_ms };
         let answer_ms = self.endpoints.answer_ms_of(&class);
         let slots = self.endpoints.slots_of(&class);
         let len_max = self.options.settings.queue_max as usize;
@@ -237,7 +237,7 @@
     }
 
     /// Puts back what was taken from its queue a moment ago.
-    pub(super) fn enqueue_again(&mut self, it: Waiting<PendingRequestKey>) {
+    pub(super) fn enqueue_again(&mut self, it: WaitingRequest<PendingRequestKey>) {
         let Some(quick) = self.quicks.get(it.key) else { return };
         let team = quick.team.clone();
         class_queue(&mut self.lines, &quick.quick.class).queue.unpop(&team, it);
--- a/src/entry/core/attempts.rs
+++ b/src/entry/core/attempts.rs
@@ -10,7 +10,7 @@
         request::CallerAnswer,
     },
     error::{ExecutionStatus, answer_of},
-    metrics::Dropped,
+    metrics::AnswerDropReason,
     policy::retry::{RetryReason, reason_of_refusal},
     prelude::*,
     util::checksum,
@@ -233,9 +233,9 @@
             let own =
                 it.request.boot == self.options.boot && it.request.number <= self.next_request;
             return self.metrics.count_dropped_answer(if own {
-                Dropped::Late
+                AnswerDropReason::Late
             } else {
-                Dropped::Foreign
+                AnswerDropReason::Foreign
             });
         };
         let position = quick
@@ -243,7 +243,7 @@
             .iter()
             .position(|at| at.number == it.attempt && at.endpoint_id == it.endpoint);
         let Some(position) = position else {
-            return self.metrics.count_dropped_answer(Dropped::Late);
+            return self.metrics.count_dropped_answer(AnswerDropReason::Late);
         };
         if it.outcome == ExecuteOutcome::Running {
             quick.stage = Stage::InFlight { next_action_ms: now.mono_ms + ASK_MS };
@@ -264,7 +264,7 @@
     ) {
         match outcome {
             ExecuteOutcome::Answered(it) if checksum(&it.body) != it.checksum => {
-                self.metrics.count_dropped_answer(Dropped::Damaged);
+                self.metrics.count_dropped_answer(AnswerDropReason::Damaged);
                 self.on_failed(now, key, attempt, "its answer arrived damaged");
             }
             ExecuteOutcome::Answered(it) => self.on_answered(now, key, attempt, it),
--- a/src/entry/core/mod.rs
+++ b/src/entry/core/mod.rs
@@ -19,7 +19,7 @@
     control::{client::ControlClient, state::ReplyResult},
     entry::{
         endpoints::Endpoints,
-        pending_request::{PendingRequestKey, Quick},
+        pending_request::{PendingRequest, PendingRequestKey},
         request::{CallerAnswer, CallerRequest, Effect, Input},
     },
     metrics::Metrics,
@@ -99,7 +99,7 @@
     pub(super) client: ControlClient<ControlToken>,
     adopted: AdoptedConfiguration,
     pub(super) endpoints: Endpoints,
-    pub(super) quicks: SlotMap<PendingRequestKey, Quick>,
+    pub(super) quicks: SlotMap<PendingRequestKey, PendingRequest>,
     by_request: HashMap<RequestId, PendingRequestKey>,
     /// Attempts of other requests that agents were asked about, by who asked.
     pub(super) asked: HashMap<(RequestId, u32), PendingRequestKey>,
--- a/src/entry/pending_request.rs
+++ b/src/entry/pending_request.rs
@@ -41,7 +41,7 @@
 
 /// One quick request.
 #[derive(Clone, Debug)]
-pub(super) struct Quick {
+pub(super) struct PendingRequest {
     pub token: Option<u64>,
     pub request: RequestId,
     pub team: CompactString,
@@ -62,7 +62,7 @@
     pub error_answer: Option<Answer>,
 }
 
-impl Quick {
+impl PendingRequest {
     pub(super) fn is_idempotent(&self) -> bool {
         self.quick.idempotent
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -49,11 +49,11 @@
 
 /// The final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum GatewayAnswer {
     Told(WorkflowOutcome),
     /// It was not taken and never will be; the time after which to ask again.
     NotTaken {
-        cause: Cause,
+        cause: RejectionCause,
         retry_after_ms: u64,
     },
     /// No answer came; it may have been taken.
@@ -62,7 +62,7 @@
 
 /// Why a request was given up on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum RejectionCause {
     NoLeader,
     NoConfig,
     Busy,
@@ -71,19 +71,24 @@
     Unserved,
 }
 
-impl Cause {
+impl RejectionCause {
     /// All causes, for counters that exist from the start.
-    pub const ALL: [Cause; 5] =
-        [Cause::NoLeader, Cause::NoConfig, Cause::Busy, Cause::TooManyCalls, Cause::Unserved];
+    pub const ALL: [RejectionCause; 5] = [
+        RejectionCause::NoLeader,
+        RejectionCause::NoConfig,
+        RejectionCause::Busy,
+        RejectionCause::TooManyCalls,
+        RejectionCause::Unserved,
+    ];
 
     /// Returns the label of its counter.
     pub fn as_str(self) -> &'static str {
         match self {
-            Cause::NoLeader => "no_leader",
-            Cause::NoConfig => "no_config",
-            Cause::Busy => "busy",
-            Cause::TooManyCalls => "too_many_calls",
-            Cause::Unserved => "unserved",
+            RejectionCause::NoLeader => "no_leader",
+            RejectionCause::NoConfig => "no_config",
+            RejectionCause::Busy => "busy",
+            RejectionCause::TooManyCalls => "too_many_calls",
+            RejectionCause::Unserved => "unserved",
         }
     }
 }
@@ -98,7 +103,7 @@
     /// The answer to a request that waited for `took_ms`.
     Answer {
         token: u64,
-        answer: Answer,
+        answer: GatewayAnswer,
         took_ms: u64,
     },
 }
@@ -189,8 +194,8 @@
 
     fn begin(&mut self, now: Now, token: u64, request: WorkflowRequest, wait_ms: u64) {
         if self.options.calls_max <= self.calls.len() {
-            let answer = Answer::NotTaken {
-                cause: Cause::TooManyCalls,
+            let answer = GatewayAnswer::NotTaken {
+                cause: RejectionCause::TooManyCalls,
                 retry_after_ms: self.options.resend_ms,
             };
             tracing::warn!(
@@ -283,16 +288,18 @@
             return;
         }
         let answer = match it.outcome {
-            WorkflowOutcome::NoConfig => {
-                Answer::NotTaken { cause: Cause::NoConfig, retry_after_ms: self.options.resend_ms }
-            }
+            WorkflowOutcome::NoConfig => GatewayAnswer::NotTaken {
+                cause: RejectionCause::NoConfig,
+                retry_after_ms: self.options.resend_ms,
+            },
             WorkflowOutcome::Busy(retry_after_ms) => {
-                Answer::NotTaken { cause: Cause::Busy, retry_after_ms }
-            }
-            WorkflowOutcome::Unserved => {
-                Answer::NotTaken { cause: Cause::Unserved, retry_after_ms: UNSERVED_PAUSE_MS }
+                GatewayAnswer::NotTaken { cause: RejectionCause::Busy, retry_after_ms }
             }
-            told => Answer::Told(told),
+            WorkflowOutcome::Unserved => GatewayAnswer::NotTaken {
+                cause: RejectionCause::Unserved,
+                retry_after_ms: UNSERVED_PAUSE_MS,
+            },
+            told => GatewayAnswer::Told(told),
         };
         self.end(now, it.id, answer);
     }
@@ -330,7 +337,7 @@
         }
     }
 
-    fn end(&mut self, now: Now, id: u64, answer: Answer) {
+    fn end(&mut self, now: Now, id: u64, answer: GatewayAnswer) {
         let Some(call) = self.calls.remove(&id) else { return };
         if call.token == PROBE {
             return;
@@ -362,9 +369,9 @@
         for id in over {
             let is_unsure = self.calls.get(&id).is_some_and(|it| it.may_have_been_taken());
             let answer = match is_unsure {
-                true => Answer::Unknown,
-                false => Answer::NotTaken {
-                    cause: Cause::NoLeader,
+                true => GatewayAnswer::Unknown,
+                false => GatewayAnswer::NotTaken {
+                    cause: RejectionCause::NoLeader,
                     retry_after_ms: self.options.give_up_ms / 2,
                 },
             };
@@ -442,7 +449,7 @@
     }
 }
 
-fn log_ended(call: &Call, now: Now, answer: &Answer) {
+fn log_ended(call: &Call, now: Now, answer: &GatewayAnswer) {
     let took_ms = now.mono_ms - call.began_ms;
     let (kind, target) = match &call.request {
         WorkflowRequest::Submit(it) => ("submit", it.target.path.as_str()),
@@ -456,7 +463,7 @@
         WorkflowRequest::Ping => ("ping", ""),
     };
     match answer {
-        Answer::Told(WorkflowOutcome::Config(it)) => {
+        GatewayAnswer::Told(WorkflowOutcome::Config(it)) => {
             tracing::info!(
                 event = "request_answered",
                 kind,
@@ -465,13 +472,13 @@
                 sends = call.sends
             );
         }
-        Answer::Told(outcome) => {
+        GatewayAnswer::Told(outcome) => {
             tracing::info!(event = "request_answered", kind, target, outcome = ?outcome, took_ms, sends = call.sends);
         }
-        Answer::NotTaken { cause, .. } => {
+        GatewayAnswer::NotTaken { cause, .. } => {
             tracing::warn!(event = "request_refused", kind, target, cause = ?cause, took_ms, sends = call.sends, leader = ?call.sent_to);
         }
-        Answer::Unknown => {
+        GatewayAnswer::Unknown => {
             tracing::warn!(event = "request_unknown", kind, target, took_ms, sends = call.sends, leader = ?call.sent_to);
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -34,14 +34,14 @@
 //!
 //! ```
 //! use aspenrail::{
-//!     policy::task_queue::{Facts, Rule, rank},
+//!     policy::task_queue::{RankingInput, RankingRule, rank},
 //!     prelude::*,
 //! };
 //!
-//! let long = Facts { size_ms: 60_000, attained_ms: 0, accepted_ms: 1 };
-//! let short = Facts { size_ms: 1_000, attained_ms: 0, accepted_ms: 2 };
-//! assert!(rank(Rule::RemainingTimesSize, short) < rank(Rule::RemainingTimesSize, long));
-//! assert!(rank(Rule::Fifo, long) < rank(Rule::Fifo, short));
+//! let long = RankingInput { size_ms: 60_000, attained_ms: 0, accepted_ms: 1 };
+//! let short = RankingInput { size_ms: 1_000, attained_ms: 0, accepted_ms: 2 };
+//! assert!(rank(RankingRule::RemainingTimesSize, short) < rank(RankingRule::RemainingTimesSize, long));
+//! assert!(rank(RankingRule::Fifo, long) < rank(RankingRule::Fifo, short));
 //! ```
 
 pub mod agent;
--- a/src/link/codec.rs
+++ b/src/link/codec.rs
@@ -44,15 +44,15 @@
 
 /// Cuts a stream of bytes into frames.
 #[derive(Debug)]
-pub struct Frames {
+pub struct FrameDecoder {
     buffer: BytesMut,
     max_bytes: usize,
 }
 
-impl Frames {
+impl FrameDecoder {
     /// Makes a cutter that accepts frames of at most `max_bytes`.
-    pub fn new(max_bytes: usize) -> Frames {
-        Frames { buffer: BytesMut::new(), max_bytes }
+    pub fn new(max_bytes: usize) -> FrameDecoder {
+        FrameDecoder { buffer: BytesMut::new(), max_bytes }
     }
 
     /// Takes in bytes as they arrive.
--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -20,7 +20,7 @@
     schema::{PROTOCOL_VERSION, settings::Settings},
 };
 
-pub use self::codec::{FrameError, Frames, encode_frame};
+pub use self::codec::{FrameDecoder, FrameError, encode_frame};
 
 /// What a link tells its process.
 #[derive(Clone, Debug)]
--- a/src/link/server.rs
+++ b/src/link/server.rs
@@ -7,7 +7,7 @@
 use crate::{
     link::{
         LinkEvent, LinkOptions, LinkSink,
-        codec::{FrameError, Frames},
+        codec::{FrameDecoder, FrameError},
     },
     metrics::Metrics,
     prelude::*,
@@ -76,7 +76,7 @@
     metrics: Arc<Metrics>,
     sink: S,
 ) {
-    let mut frames = Frames::new(options.frame_max_bytes);
+    let mut frames = FrameDecoder::new(options.frame_max_bytes);
     let mut peer: Option<Hello> = None;
     while let Some(Ok(data)) = body.data().await {
         metrics.link_bytes_received.inc_by(data.len() as u64);
@@ -124,7 +124,7 @@
 ///
 /// The layout of [`Hello`] never changes, so that any two versions understand each other's
 /// refusal.
-fn greet(frames: &mut Frames, options: &LinkOptions) -> Result<Option<Hello>, String> {
+fn greet(frames: &mut FrameDecoder, options: &LinkOptions) -> Result<Option<Hello>, String> {
     let hello: Option<Hello> = frames.next_frame().map_err(|it: FrameError| it.to_string())?;
     let Some(hello) = hello else { return Ok(None) };
     let ours = &options.hello;
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -11,13 +11,13 @@
 };
 
 use crate::{
-    error::ERROR_ANSWERS, gateway::Cause, node::AnnouncementRejection, policy::retry::RetryReason,
-    prelude::*,
+    error::ERROR_ANSWERS, gateway::RejectionCause, node::AnnouncementRejection,
+    policy::retry::RetryReason, prelude::*,
 };
 
 /// Why an answer was not passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dropped {
+pub enum AnswerDropReason {
     /// Its request was answered or given up already.
     Late,
     /// It names no request of this process.
@@ -26,14 +26,15 @@
     Damaged,
 }
 
-impl Dropped {
-    const ALL: [Dropped; 3] = [Dropped::Late, Dropped::Foreign, Dropped::Damaged];
+impl AnswerDropReason {
+    const ALL: [AnswerDropReason; 3] =
+        [AnswerDropReason::Late, AnswerDropReason::Foreign, AnswerDropReason::Damaged];
 
     fn as_str(self) -> &'static str {
         match self {
-            Dropped::Late => "late",
-            Dropped::Foreign => "foreign",
-            Dropped::Damaged => "damaged",
+            AnswerDropReason::Late => "late",
+            AnswerDropReason::Foreign => "foreign",
+            AnswerDropReason::Damaged => "damaged",
         }
     }
 }
@@ -125,7 +126,7 @@
             .iter()
             .for_each(|it| drop(refusals.with_label_values(&[&it.kind.to_string()])));
         RetryReason::ALL.iter().for_each(|it| drop(retries.with_label_values(&[it.as_str()])));
-        Dropped::ALL.iter().for_each(|it| drop(dropped.with_label_values(&[it.as_str()])));
+        AnswerDropReason::ALL.iter().for_each(|it| drop(dropped.with_label_values(&[it.as_str()])));
         LINK_DROP_REASONS.iter().for_each(|it| drop(link_dropped.with_label_values(&[it])));
         let options = HistogramOpts::new(
             "aspenrail_answer_seconds",
@@ -138,7 +139,9 @@
             "Requests about workflows that were not taken, by cause.",
             "cause",
         )?;
-        Cause::ALL.iter().for_each(|it| drop(gateway_refusals.with_label_values(&[it.as_str()])));
+        RejectionCause::ALL
+            .iter()
+            .for_each(|it| drop(gateway_refusals.with_label_values(&[it.as_str()])));
         let announcements_passed_over = counters(
             "aspenrail_announcements_passed_over_total",
             "Announcements of workers that named none for use, by cause.",
@@ -240,12 +243,12 @@
     }
 
     /// Counts an answer that was not passed on.
-    pub fn count_dropped_answer(&self, reason: Dropped) {
+    pub fn count_dropped_answer(&self, reason: AnswerDropReason) {
         self.dropped.with_label_values(&[reason.as_str()]).inc();
     }
 
     /// Counts a request about workflows that was not taken.
-    pub fn gateway_refused(&self, cause: Cause) {
+    pub fn gateway_refused(&self, cause: RejectionCause) {
         self.gateway_refusals.with_label_values(&[cause.as_str()]).inc();
     }
 
--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -65,7 +65,7 @@
     },
     Refused {
         clock_ms: u64,
-        cause: Refused,
+        cause: CallRefusal,
     },
     /// Another lifetime of the worker answered.
     OtherLifetime,
@@ -81,7 +81,7 @@
 
 /// Why a worker refused a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum CallRefusal {
     /// A leader of a later term has spoken.
     Fenced,
     /// A run with this number or a higher one was there already.
--- a/src/node/fillers.rs
+++ b/src/node/fillers.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 
 use crate::{
-    node::worker::{Lifetime, Used},
+    node::worker::{ImageUsage, WorkerIncarnation},
     policy::{
         contention::{UNKNOWN_COST_PERCENT, headroom_percent, reference_cores},
-        throttling::{FillerReading, ServingReading, Throttler, Usage},
+        throttling::{CpuUsageWindow, FillerReading, ServingReading, Throttler},
     },
     prelude::*,
 };
 
-impl Lifetime {
+impl WorkerIncarnation {
     /// Returns whether fillers work beside tasks that serve, so that tails must be watched.
     pub(super) fn must_watch(&self) -> bool {
         let has = |is_wanted: fn(&TaskRole) -> bool| {
@@ -57,7 +57,7 @@
     }
 
     /// Returns the fillers that have ended, and that tails still tell of.
-    fn ended_fillers(&self) -> impl Iterator<Item = (RunRef, &Used)> {
+    fn ended_fillers(&self) -> impl Iterator<Item = (RunRef, &ImageUsage)> {
         let has_ended = |run: RunRef| !self.running.iter().any(|it| it.run == run);
         self.usages.iter().map(|(run, it)| (*run, it)).filter(move |(run, _)| has_ended(*run))
     }
@@ -78,8 +78,8 @@
     /// Begins to count what a filler uses that has just begun.
     pub(super) fn begin_usage(&mut self, run: RunRef, now: Now) {
         if let Some(TaskRole::Filler(role)) = self.roles.get(&run) {
-            let (image, usage) = (role.image.clone(), Usage::begun(now.mono_ms));
-            self.usages.insert(run, Used { image, usage });
+            let (image, usage) = (role.image.clone(), CpuUsageWindow::begun(now.mono_ms));
+            self.usages.insert(run, ImageUsage { image, usage });
         }
     }
 
@@ -92,7 +92,8 @@
             let told = f64::from(self.paces.get(&it.run).copied().unwrap_or(100)) / 100.0;
             let wanted_cores = f64::from(role.cpu_millicores) / 1_000.0 * told;
             let read_cores = f64::from(it.load) / 1_000.0;
-            let first = || Used { image: role.image.clone(), usage: Usage::default() };
+            let first =
+                || ImageUsage { image: role.image.clone(), usage: CpuUsageWindow::default() };
             let used = usages.entry(it.run).or_insert_with(first);
             used.usage.observe(read_cores, wanted_cores, now.mono_ms);
         }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -16,11 +16,11 @@
 use crate::{control::leader_finder::LeaderFinder, prelude::*};
 
 pub use self::calls::{
-    Action, Announcement, AnnouncementRejection, CallResult, Departure, Refused, WorkerCall,
+    Action, Announcement, AnnouncementRejection, CallRefusal, CallResult, Departure, WorkerCall,
 };
 use self::{
     unconfirmed::{UnconfirmedWorker, Verdict},
-    worker::Lifetime,
+    worker::WorkerIncarnation,
 };
 
 /// What a node is told by the settings.
@@ -82,7 +82,7 @@
     options: NodeOptions,
     leader_finder: LeaderFinder,
     term: u64,
-    worker: Option<Lifetime>,
+    worker: Option<WorkerIncarnation>,
     /// A lifetime that announced itself and has not answered yet.
     newcomer: Option<UnconfirmedWorker>,
     /// When the newest input came.
@@ -179,7 +179,7 @@
     }
 
     /// Returns whether calls of a worker may be made: orders for its id may reach a newcomer.
-    fn may_call(&self, worker: &Lifetime) -> bool {
+    fn may_call(&self, worker: &WorkerIncarnation) -> bool {
         let id = &worker.announcement.id;
         worker.is_callable() && self.newcomer.as_ref().is_none_or(|it| it.announcement.id != *id)
     }
@@ -283,7 +283,8 @@
             }
         }
         tracing::info!(event = "worker_seen", worker = %lifetime, service = %it.service, kind = %it.kind, rack = %it.rack, cpu_millicores = it.capacity.cpu_millicores, memory_mib = it.capacity.memory_mib);
-        self.worker = Some(Lifetime::new(it, self.next_call, self.options.harm_max_ms, now));
+        self.worker =
+            Some(WorkerIncarnation::new(it, self.next_call, self.options.harm_max_ms, now));
         self.late = 0;
         self.is_dirty = true;
     }
@@ -399,13 +400,13 @@
         self.report_number += 1;
         let silent_ms = self.options.worker_silent_ms;
         // A worker that is silent gets no longer lease: what it does is not known.
-        let fresh = |it: &&Lifetime| it.is_gone || now.mono_ms < it.heard_ms + silent_ms;
+        let fresh = |it: &&WorkerIncarnation| it.is_gone || now.mono_ms < it.heard_ms + silent_ms;
         let report = NodeReport {
             node: self.options.address,
             boot: self.options.boot,
             number: self.report_number,
             sent_ms: now.mono_ms,
-            workers: self.worker.iter().filter(fresh).map(Lifetime::report).collect(),
+            workers: self.worker.iter().filter(fresh).map(WorkerIncarnation::report).collect(),
         };
         self.effects.push(Effect::Send { to, message: Message::NodeReport(report) });
     }
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -4,9 +4,9 @@
     control::state::fits,
     node::{
         NodeCore,
-        calls::{Action, CallResult, Refused, WorkerCall},
+        calls::{Action, CallRefusal, CallResult, WorkerCall},
         unconfirmed::LATE_ORDER_MAX_MS,
-        worker::{Hold, Lifetime, Order, Pending},
+        worker::{Order, PendingOrder, PendingPoll, WorkerIncarnation},
     },
     prelude::*,
 };
@@ -28,7 +28,7 @@
 /// Time for which nobody must listen at a worker's address before it counts as gone: two tries.
 const GONE_AFTER_MS: u64 = 200;
 
-impl Lifetime {
+impl WorkerIncarnation {
     /// Withdraws starts that a complete list of the leader's no longer holds: it gave up on this
     /// worker meanwhile, and may have begun the task elsewhere.
     pub(super) fn withdraw_starts(&mut self, now: Now, orders: &[RunOrder]) {
@@ -70,7 +70,7 @@
     /// Refuses the starts that never reached a worker that is gone, so that they are not taken for
     /// what took it down.
     fn refuse_unsent(&mut self) {
-        let is_unsent = |it: &Pending| {
+        let is_unsent = |it: &PendingOrder| {
             matches!(it.order, Order::Start { .. }) && it.call.is_none() && !it.may_be_late
         };
         for (run, _) in self.orders.iter().filter(|(_, it)| is_unsent(it)) {
@@ -115,7 +115,7 @@
     /// Notes who is there by a look that has ended.
     ///
     /// An answer that lay unread while this process stood still tells who was there before.
-    fn note_look(&mut self, hold: Hold, result: &CallResult, now: Now) {
+    fn note_look(&mut self, hold: PendingPoll, result: &CallResult, now: Now) {
         let is_fresh = self.stood_still_ms <= hold.sent_ms
             && now.mono_ms <= hold.sent_ms + hold.wait_ms + LIST_FRESH_MS;
         match result {
@@ -177,7 +177,7 @@
             return;
         }
         let order = Order::Start { payload: it.payload, checkpoint: it.checkpoint, made_for };
-        let mut pending = Pending::new(order, now);
+        let mut pending = PendingOrder::new(order, now);
         if self.announcement.draining {
             // This process may have just started, with a call of the one before it on its way.
             pending.bar(RefusalCause::Leaving, now);
@@ -195,13 +195,13 @@
         // A run that never begins lists no end, so the leader is told that it was refused.
         let is_running = self.running.iter().any(|it| it.run == run);
         let refused = if is_running { None } else { Some(RefusalCause::Superseded) };
-        self.orders.insert(run, Pending::new(Order::Stop { refused }, now));
+        self.orders.insert(run, PendingOrder::new(Order::Stop { refused }, now));
     }
 }
 
-impl Pending {
-    fn new(order: Order, now: Now) -> Pending {
-        Pending { order, call: None, next_ms: now.mono_ms, attempts: 0, may_be_late: false }
+impl PendingOrder {
+    fn new(order: Order, now: Now) -> PendingOrder {
+        PendingOrder { order, call: None, next_ms: now.mono_ms, attempts: 0, may_be_late: false }
     }
 }
 
@@ -256,7 +256,8 @@
             let call = call(action, &mut self.next_call);
             let lapsed_if_past_ms = worker.sent_lease_until_ms.filter(|_| may_have_lapsed);
             let sent_ms = now.mono_ms;
-            worker.hold = Some(Hold { call, sent_ms, wait_ms, acked_cursor, lapsed_if_past_ms });
+            worker.hold =
+                Some(PendingPoll { call, sent_ms, wait_ms, acked_cursor, lapsed_if_past_ms });
             worker.sent_lease_until_ms = worker.sent_lease_until_ms.max(lease);
         }
         let is_unsure = worker.is_unsure;
@@ -363,7 +364,7 @@
         }
     }
 
-    fn on_hold_ended(&mut self, now: Now, hold: Hold, result: CallResult) {
+    fn on_hold_ended(&mut self, now: Now, hold: PendingPoll, result: CallResult) {
         let Some(worker) = &mut self.worker else { return };
         worker.hold = None;
         worker.note_look(hold, &result, now);
@@ -455,13 +456,13 @@
                 }
                 worker.hold_at_ms = worker.hold_at_ms.min(now.mono_ms);
             }
-            CallResult::Refused { cause: Refused::Room, .. } if is_start => {
+            CallResult::Refused { cause: CallRefusal::Room, .. } if is_start => {
                 pending.bar(RefusalCause::Room, now);
             }
-            CallResult::Refused { cause: Refused::Superseded, .. } if is_start => {
+            CallResult::Refused { cause: CallRefusal::Superseded, .. } if is_start => {
                 pending.bar(RefusalCause::Superseded, now);
             }
-            CallResult::Refused { cause: Refused::Ticket, .. } | CallResult::Invalid(_)
+            CallResult::Refused { cause: CallRefusal::Ticket, .. } | CallResult::Invalid(_)
                 if is_start =>
             {
                 tracing::warn!(event = "start_impossible", run = %crate::control::dispatch::run_name(run), outcome = ?result);
@@ -482,7 +483,7 @@
     }
 }
 
-impl Pending {
+impl PendingOrder {
     /// Gives up on a start: the run is stopped first, so that an earlier call that got no
     /// answer can never begin it.
     fn bar(&mut self, cause: RefusalCause, now: Now) {
--- a/src/node/worker.rs
+++ b/src/node/worker.rs
@@ -7,7 +7,7 @@
         calls::{Announcement, CallResult},
         unconfirmed::LATE_ORDER_MAX_MS,
     },
-    policy::throttling::{Throttler, Usage},
+    policy::throttling::{CpuUsageWindow, Throttler},
     prelude::*,
 };
 
@@ -21,7 +21,7 @@
 
 /// A look at the worker's lists.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Hold {
+pub(super) struct PendingPoll {
     pub call: u64,
     pub sent_ms: u64,
     /// Longest wait that it allows the worker.
@@ -34,7 +34,7 @@
 
 /// An order on its way to the worker.
 #[derive(Clone, Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingOrder {
     pub order: Order,
     /// The call under way, if any.
     pub call: Option<u64>,
@@ -62,14 +62,14 @@
 
 /// What a filler of an image uses.
 #[derive(Clone, Debug)]
-pub(super) struct Used {
+pub(super) struct ImageUsage {
     pub image: CompactString,
-    pub usage: Usage,
+    pub usage: CpuUsageWindow,
 }
 
 /// One lifetime of the worker.
 #[derive(Debug)]
-pub(super) struct Lifetime {
+pub(super) struct WorkerIncarnation {
     /// Its own name; its id may be that of an earlier one.
     pub name: CompactString,
     pub announcement: Announcement,
@@ -97,19 +97,19 @@
     pub token: u64,
     pub grant_sequence: u64,
     pub lease_until_ms: u64,
-    pub orders: BTreeMap<RunRef, Pending>,
+    pub orders: BTreeMap<RunRef, PendingOrder>,
     pub refused: BTreeMap<RunRef, RefusalCause>,
     pub roles: HashMap<RunRef, TaskRole>,
     pub throttler: Throttler,
     /// What fillers use, over the time that tails are read in; those that have just ended too.
-    pub usages: HashMap<RunRef, Used>,
+    pub usages: HashMap<RunRef, ImageUsage>,
     /// What a core of a filler takes from a serving task, by their images.
     pub costs: HashMap<(CompactString, CompactString), f64>,
     /// Share that each filler was last told, and the call that tells it.
     pub paces: HashMap<RunRef, u32>,
     pub throttle_calls: HashMap<u64, (RunRef, u32)>,
     /// The look at the worker's lists that is under way.
-    pub hold: Option<Hold>,
+    pub hold: Option<PendingPoll>,
     pub hold_at_ms: u64,
     /// Lists in a row that had rows which cannot be read.
     pub gaps: u32,
@@ -129,14 +129,14 @@
     pub is_gone: bool,
 }
 
-impl Lifetime {
+impl WorkerIncarnation {
     pub(super) fn new(
         announcement: Announcement,
         calls_after: u64,
         harm_max_ms: u64,
         now: Now,
-    ) -> Lifetime {
-        Lifetime {
+    ) -> WorkerIncarnation {
+        WorkerIncarnation {
             name: announcement.lifetime(),
             clock: ClockSample { clock_ms: announcement.clock_ms, at_ms: now.mono_ms },
             announcement,
@@ -195,7 +195,7 @@
     /// Returns the starts that may yet be carried out by whoever goes by its id: those without an
     /// answer, and those whose answer no list has confirmed.
     pub(super) fn doubtful_starts(&self, now: Now) -> Vec<RunRef> {
-        let is_doubtful = |it: &Pending| match it.order {
+        let is_doubtful = |it: &PendingOrder| match it.order {
             Order::Start { .. } => it.call.is_some() || it.may_be_late,
             Order::Stop { refused } => refused.is_some(),
             Order::Barred { .. } => true,
@@ -248,7 +248,7 @@
     /// acknowledgement came too late.
     pub(super) fn take_noted(
         &mut self,
-        hold: Hold,
+        hold: PendingPoll,
         clock_ms: u64,
         ended: &[EndedRun],
         now: Now,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -9,7 +9,7 @@
 
 /// A request that waits for a free endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Waiting<K> {
+pub struct WaitingRequest<K> {
     pub key: K,
     pub deadline_ms: u64,
 }
@@ -25,7 +25,7 @@
 /// The requests of one class that wait in an entry, fair between teams.
 #[derive(Clone, Debug)]
 pub struct FairQueue<K> {
-    teams: BTreeMap<CompactString, VecDeque<Waiting<K>>>,
+    teams: BTreeMap<CompactString, VecDeque<WaitingRequest<K>>>,
     /// Requests served by team, relative to the least served one that waits.
     served: BTreeMap<CompactString, u64>,
     len: usize,
@@ -67,9 +67,9 @@
     pub fn push(
         &mut self,
         team: &str,
-        it: Waiting<K>,
+        it: WaitingRequest<K>,
         len_max: usize,
-    ) -> Result<Option<Waiting<K>>, Rejection> {
+    ) -> Result<Option<WaitingRequest<K>>, Rejection> {
         let mut displaced = None;
         if len_max <= self.len {
             let own = self.teams.get(team).map_or(0, VecDeque::len);
@@ -100,7 +100,7 @@
     }
 
     /// Takes the next request of the team that was served least.
-    pub fn pop(&mut self) -> Option<Waiting<K>> {
+    pub fn pop(&mut self) -> Option<WaitingRequest<K>> {
         let served = &self.served;
         let team =
             self.teams.keys().min_by_key(|it| served.get(*it).copied().unwrap_or(0)).cloned()?;
@@ -117,7 +117,7 @@
     }
 
     /// Puts back what [`FairQueue::pop`] took a moment ago.
-    pub fn unpop(&mut self, team: &str, it: Waiting<K>) {
+    pub fn unpop(&mut self, team: &str, it: WaitingRequest<K>) {
         self.teams.entry(team.into()).or_default().push_front(it);
         self.len += 1;
         if let Some(served) = self.served.get_mut(team) {
--- a/src/policy/contention/headroom_filter.rs
+++ b/src/policy/contention/headroom_filter.rs
@@ -6,7 +6,7 @@
 //! are blamed on fillers.
 
 use crate::{
-    policy::contention::{Filler, images::ImageKey, similarity::Evidence},
+    policy::contention::{FillerLoad, images::ImageKey, similarity::CostObservation},
     prelude::*,
 };
 
@@ -113,17 +113,17 @@
 
 /// A reading of one task that serves.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Reading<'a> {
+pub(super) struct HeadroomReading<'a> {
     pub group: StepRef,
     pub headroom_percent: f64,
     /// How rough it is (variance).
     pub noise: f64,
-    pub fillers: &'a [Filler],
+    pub fillers: &'a [FillerLoad],
 }
 
 /// The levels of one image that serves, and what each image of fillers costs it.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Filter {
+pub(super) struct HeadroomFilter {
     quantities: Vec<Quantity>,
     seen_ms: Vec<u64>,
     means: Vec<f64>,
@@ -135,7 +135,7 @@
     idle_ms: u64,
 }
 
-impl Filter {
+impl HeadroomFilter {
     /// Returns when it last took in a reading.
     pub(super) fn changed_ms(&self) -> u64 {
         self.at_ms
@@ -168,13 +168,13 @@
     }
 
     /// Returns what readings tell of an image, without what was taken for likely before.
-    pub(super) fn evidence(&self, image: ImageKey) -> Option<Evidence> {
+    pub(super) fn evidence(&self, image: ImageKey) -> Option<CostObservation> {
         let at = self.find(Quantity::Cost(image))?;
         let unknown = UNKNOWN_COST_DEVIATION_PERCENT * UNKNOWN_COST_DEVIATION_PERCENT;
         let variance = self.covariances[at][at];
         let precision = 1.0 / variance - 1.0 / unknown;
         let mean = (self.means[at] / variance - UNKNOWN_COST_PERCENT / unknown) / precision;
-        (EVIDENCE_MIN <= precision).then_some(Evidence { mean, variance: 1.0 / precision })
+        (EVIDENCE_MIN <= precision).then_some(CostObservation { mean, variance: 1.0 / precision })
     }
 
     /// Takes over what an earlier leader had learned of an image.
@@ -184,7 +184,7 @@
     }
 
     /// Takes in a reading.
-    pub(super) fn observe(&mut self, it: &Reading<'_>, now_ms: u64) {
+    pub(super) fn observe(&mut self, it: &HeadroomReading<'_>, now_ms: u64) {
         self.age(now_ms);
         let level = it.headroom_percent.max(UNKNOWN_IDLE_HEADROOM_PERCENT);
         let (group, unsure) = (it.group, UNKNOWN_REST_DEVIATION_PERCENT);
@@ -213,7 +213,7 @@
     }
 
     /// Returns by how much each quantity counts in a reading.
-    fn weights(&self, it: &Reading<'_>) -> Vec<f64> {
+    fn weights(&self, it: &HeadroomReading<'_>) -> Vec<f64> {
         let mut res = vec![0.0; self.quantities.len()];
         if let Some(at) = self.find(Quantity::Level(it.group)) {
             res[at] = 1.0;
--- a/src/policy/contention/images.rs
+++ b/src/policy/contention/images.rs
@@ -21,22 +21,22 @@
 
 /// The names of images, each with its key.
 #[derive(Clone, Debug)]
-pub struct Images {
+pub struct ImageTable {
     names: Vec<CompactString>,
     keys: HashMap<CompactString, ImageKey>,
 }
 
-impl Default for Images {
-    fn default() -> Images {
+impl Default for ImageTable {
+    fn default() -> ImageTable {
         let nameless = CompactString::default();
-        Images {
+        ImageTable {
             names: vec![nameless.clone()],
             keys: HashMap::from([(nameless, ImageKey::default())]),
         }
     }
 }
 
-impl Images {
+impl ImageTable {
     /// Returns the key of a name, which it is given now if it has none.
     pub fn key(&mut self, name: &str) -> ImageKey {
         if let Some(it) = self.keys.get(name) {
--- a/src/policy/contention/mod.rs
+++ b/src/policy/contention/mod.rs
@@ -23,9 +23,9 @@
 
 pub use self::headroom_filter::UNKNOWN_COST_PERCENT;
 use self::{
-    headroom_filter::{Filter, Reading, UNKNOWN_IDLE_HEADROOM_PERCENT},
-    images::{ImageKey, Images},
-    similarity::{Estimates, Readings},
+    headroom_filter::{HeadroomFilter, HeadroomReading, UNKNOWN_IDLE_HEADROOM_PERCENT},
+    images::{ImageKey, ImageTable},
+    similarity::{CostEstimates, PairObservations},
 };
 
 /// Cores of the VM that costs are told for. A VM of another size counts its own by share.
@@ -79,7 +79,7 @@
 
 /// A task that serves, as reported.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Serving {
+pub struct ServingTask {
     pub run: RunRef,
     pub image: ImageKey,
     pub headroom_percent: f64,
@@ -87,7 +87,7 @@
 
 /// A filler beside it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Filler {
+pub struct FillerLoad {
     pub image: ImageKey,
     /// Processor that it uses, or would, as of a VM of [`REFERENCE_CORES`].
     pub cores: f64,
@@ -109,12 +109,12 @@
 /// What is known of images beside each other.
 #[derive(Clone, Debug, Default)]
 pub struct ContentionModel {
-    images: Images,
+    images: ImageTable,
     read: HashMap<RunRef, LastRead>,
     /// By image of the serving task.
-    filters: HashMap<ImageKey, Filter>,
+    filters: HashMap<ImageKey, HeadroomFilter>,
     /// What images that behave alike add to that.
-    estimates: Estimates,
+    estimates: CostEstimates,
     compared_ms: u64,
 }
 
@@ -187,12 +187,12 @@
     }
 
     /// Returns what `fillers` take from `serving` together, in percent of headroom.
-    pub fn taken_percent(&self, serving: ImageKey, fillers: &[Filler]) -> f64 {
+    pub fn taken_percent(&self, serving: ImageKey, fillers: &[FillerLoad]) -> f64 {
         fillers.iter().map(|it| self.cost_percent(serving, it.image) * it.cores).sum()
     }
 
     /// Learns from what was reported of one VM.
-    pub fn observe(&mut self, serving: &[Serving], fillers: &[Filler], now_ms: u64) {
+    pub fn observe(&mut self, serving: &[ServingTask], fillers: &[FillerLoad], now_ms: u64) {
         if REMEMBERED_MAX <= self.read.len() {
             self.read.retain(|_, it| now_ms < it.at_ms + READING_KEPT_MS);
         }
@@ -201,12 +201,12 @@
         }
         if self.compared_ms + COMPARED_MS <= now_ms {
             self.compared_ms = now_ms;
-            self.estimates = Estimates::new(self.readings());
+            self.estimates = CostEstimates::new(self.readings());
         }
     }
 
     /// Returns what readings tell of the images seen last.
-    fn readings(&self) -> Readings {
+    fn readings(&self) -> PairObservations {
         let mut rows: Vec<_> = self.filters.iter().collect();
         rows.sort_by_key(|(image, it)| (Reverse(it.changed_ms()), **image));
         rows.truncate(COMPARED_MAX);
@@ -217,14 +217,14 @@
             }
         }
         let pairs = rows.iter().map(|(_, it)| fillers.iter().map(|image| it.evidence(*image)));
-        Readings {
+        PairObservations {
             serving: rows.iter().map(|(image, _)| **image).collect(),
             pairs: pairs.map(Iterator::collect).collect(),
             fillers,
         }
     }
 
-    fn observe_one(&mut self, it: &Serving, fillers: &[Filler], now_ms: u64) {
+    fn observe_one(&mut self, it: &ServingTask, fillers: &[FillerLoad], now_ms: u64) {
         if REMEMBERED_MAX <= self.read.len() && !self.read.contains_key(&it.run) {
             return;
         }
@@ -239,7 +239,7 @@
         if REMEMBERED_MAX <= self.filters.len() && !self.filters.contains_key(&it.image) {
             return;
         }
-        let reading = Reading {
+        let reading = HeadroomReading {
             group: StepRef::of(it.run.task),
             headroom_percent: it.headroom_percent,
             noise: noise(it.headroom_percent, passed_ms),
--- a/src/policy/contention/similarity.rs
+++ b/src/policy/contention/similarity.rs
@@ -23,7 +23,7 @@
 
 /// A cost as readings of its own pair tell it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Evidence {
+pub struct CostObservation {
     /// In percent of headroom a core.
     pub mean: f64,
     /// How far that may be off, in percent squared.
@@ -32,19 +32,19 @@
 
 /// What readings tell of pairs of images.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Readings {
+pub struct PairObservations {
     /// Images that serve.
     pub serving: Vec<ImageKey>,
     /// Images of fillers.
     pub fillers: Vec<ImageKey>,
     /// By image that serves, then by image of fillers; nothing for pairs not seen.
-    pub pairs: Vec<Vec<Option<Evidence>>>,
+    pub pairs: Vec<Vec<Option<CostObservation>>>,
 }
 
 /// Costs of all pairs of images that were compared: a dense table, with the place of each image
 /// in it by key, so that a cost is read without comparing names.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Estimates {
+pub struct CostEstimates {
     /// By key of an image: its row, if it serves and was compared.
     rows: Vec<Option<u16>>,
     /// By key of an image: its column, if it fills and was compared.
@@ -54,15 +54,15 @@
     means_percent: Vec<f64>,
 }
 
-impl Estimates {
+impl CostEstimates {
     /// Returns the estimates that follow from readings.
-    pub fn new(readings: Readings) -> Estimates {
+    pub fn new(readings: PairObservations) -> CostEstimates {
         let costs_percent = costs_percent(&readings);
         let mean = |column: usize| {
             let sum: f64 = costs_percent.iter().map(|row| row[column]).sum();
             (UNKNOWN_COST_PERCENT + sum) / (1.0 + costs_percent.len() as f64)
         };
-        Estimates {
+        CostEstimates {
             rows: places(&readings.serving),
             columns: places(&readings.fillers),
             means_percent: (0..readings.fillers.len()).map(mean).collect(),
@@ -98,7 +98,7 @@
     places.get(image.index()).copied().flatten().map(usize::from)
 }
 
-fn costs_percent(readings: &Readings) -> Vec<Vec<f64>> {
+fn costs_percent(readings: &PairObservations) -> Vec<Vec<f64>> {
     let (rows, columns) = (readings.serving.len(), readings.fillers.len());
     let pairs = &readings.pairs;
     let row_weights = likenesses(rows, columns, |row, column| pairs[row][column]);
@@ -122,7 +122,7 @@
 fn likenesses(
     lines: usize,
     length: usize,
-    at: impl Fn(usize, usize) -> Option<Evidence>,
+    at: impl Fn(usize, usize) -> Option<CostObservation>,
 ) -> Vec<Vec<f64>> {
     let likeness = |one: usize, other: usize| {
         if one == other {
@@ -137,7 +137,7 @@
 
 /// Returns how much two costs speak for being alike: the logarithm of how much likelier their
 /// difference is among alike images than among others.
-fn log_likelihood_ratio(one: Evidence, other: Evidence) -> f64 {
+fn log_likelihood_ratio(one: CostObservation, other: CostObservation) -> f64 {
     let difference = one.mean - other.mean;
     let square = difference * difference;
     let rough = one.variance + other.variance;
@@ -165,7 +165,7 @@
         WeightedMean { sum: UNKNOWN_COST_PERCENT * precision, precision }
     }
 
-    fn add(&mut self, it: Option<Evidence>, weight: f64, variance: f64) {
+    fn add(&mut self, it: Option<CostObservation>, weight: f64, variance: f64) {
         if let Some(it) = it {
             let precision = weight / (it.variance + variance);
             self.sum += it.mean * precision;
@@ -174,7 +174,7 @@
     }
 
     /// Adds the cost of a pair that is alike by `weight`.
-    fn add_alike(&mut self, it: Option<Evidence>, weight: f64) {
+    fn add_alike(&mut self, it: Option<CostObservation>, weight: f64) {
         let variance = it.map_or(ALIKE_VARIANCE, |it| alike_variance(it.mean));
         self.add(it, weight, variance);
     }
--- a/src/policy/crash_evidence.rs
+++ b/src/policy/crash_evidence.rs
@@ -66,12 +66,12 @@
 
 /// How often workers crashed lately without the task in question.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Background {
+pub struct BaselineCrashRate {
     pub crashes: usize,
     pub workers: usize,
 }
 
-impl Background {
+impl BaselineCrashRate {
     /// Returns the odds for a task of having caused a crash at an age of its run, after one at
     /// another age, if there was any.
     pub fn odds(self, age_ms: u64, age_before_ms: Option<u64>) -> f64 {
@@ -129,7 +129,7 @@
 
 impl CrashEvidence {
     /// Returns what is held against the task after one more crash, seen at an age of its run.
-    pub fn after_crash(self, age_ms: u64, background: Background) -> CrashEvidence {
+    pub fn after_crash(self, age_ms: u64, background: BaselineCrashRate) -> CrashEvidence {
         let losses = self.losses + 1;
         let before_ms = (0 < self.age_ms).then_some(self.age_ms);
         let odds = match self.is_ruled_out_at_age(age_ms) {
--- a/src/policy/feedback.rs
+++ b/src/policy/feedback.rs
@@ -23,7 +23,7 @@
 
 /// What is to be done on a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Action {
+pub enum FeedbackAction {
     None,
     /// Let the neighbour have only this part of its processors.
     Throttle {
@@ -42,7 +42,7 @@
 
 /// A report on the services of a VM.
 #[derive(Clone, Copy, Debug)]
-pub struct Report {
+pub struct TailLatencyReport {
     pub tail_ms: u64,
     /// The tail to expect if the throttled neighbour ran freely.
     pub unthrottled_tail_ms: u64,
@@ -53,7 +53,7 @@
 
 /// The feedback loop of one VM.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Loop {
+pub struct FeedbackLoop {
     high: u32,
     low: u32,
     throttled: Option<TaskId>,
@@ -61,7 +61,7 @@
     closed: bool,
 }
 
-impl Loop {
+impl FeedbackLoop {
     /// Returns whether new batch work is kept away from the VM.
     pub fn is_closed(&self) -> bool {
         self.closed
@@ -85,8 +85,13 @@
     }
 
     /// Takes in a report, and decides; `worst` is the neighbour estimated most harmful.
-    pub fn observe(&mut self, now_ms: u64, report: Report, worst: Option<TaskId>) -> Action {
-        let Report { tail_ms, unthrottled_tail_ms, target_ms, lag_ms } = report;
+    pub fn observe(
+        &mut self,
+        now_ms: u64,
+        report: TailLatencyReport,
+        worst: Option<TaskId>,
+    ) -> FeedbackAction {
+        let TailLatencyReport { tail_ms, unthrottled_tail_ms, target_ms, lag_ms } = report;
         let above = target_ms < tail_ms;
         // A throttled neighbour is let go once its estimated harm would fit again, not only when
         // the tail is far below: it holds its processors meanwhile and uses a part of them.
@@ -98,31 +103,31 @@
         self.low = if below && !above { self.low + 1 } else { 0 };
         // A report that began before the last action says nothing of its effect.
         if self.acted_ms.is_some_and(|it| now_ms < it + lag_ms * 2) {
-            return Action::None;
+            return FeedbackAction::None;
         }
         let action = match (self.throttled, worst) {
             _ if HIGH_REPORTS <= self.high && !self.closed => {
                 self.closed = true;
-                worst.map_or(Action::None, |task| Action::Throttle {
+                worst.map_or(FeedbackAction::None, |task| FeedbackAction::Throttle {
                     task,
                     permille: THROTTLED_PERMILLE,
                 })
             }
-            (Some(task), _) if HIGH_REPORTS <= self.high => Action::Move { task },
+            (Some(task), _) if HIGH_REPORTS <= self.high => FeedbackAction::Move { task },
             (None, Some(task)) if HIGH_REPORTS <= self.high => {
-                Action::Throttle { task, permille: THROTTLED_PERMILLE }
+                FeedbackAction::Throttle { task, permille: THROTTLED_PERMILLE }
             }
-            (Some(task), _) if LOW_REPORTS <= self.low => Action::Release { task },
+            (Some(task), _) if LOW_REPORTS <= self.low => FeedbackAction::Release { task },
             (None, _) if LOW_REPORTS <= self.low && self.closed => {
                 self.closed = false;
-                Action::None
+                FeedbackAction::None
             }
-            _ => return Action::None,
+            _ => return FeedbackAction::None,
         };
         match action {
-            Action::Throttle { task, .. } => self.throttled = Some(task),
-            Action::Release { .. } | Action::Move { .. } => self.throttled = None,
-            Action::None => (),
+            FeedbackAction::Throttle { task, .. } => self.throttled = Some(task),
+            FeedbackAction::Release { .. } | FeedbackAction::Move { .. } => self.throttled = None,
+            FeedbackAction::None => (),
         }
         self.acted_ms = Some(now_ms);
         self.high = 0;
--- a/src/policy/interference.rs
+++ b/src/policy/interference.rs
@@ -26,11 +26,11 @@
 
 /// The recent past of the VMs.
 #[derive(Clone, Debug, Default)]
-pub struct Past {
+pub struct WorkloadHistory {
     scenes: HashMap<VmId, VecDeque<Scene>>,
 }
 
-impl Past {
+impl WorkloadHistory {
     /// Notes what runs on a VM from now on: kinds with their share of its processors.
     pub fn note(&mut self, vm: VmId, now_ms: u64, kinds: Vec<(CompactString, f64)>) {
         let list = self.scenes.entry(vm).or_default();
@@ -56,12 +56,12 @@
 
 /// Estimated slow-down of classes by kinds.
 #[derive(Clone, Debug, Default)]
-pub struct Pairs {
+pub struct InterferenceModel {
     harm: HashMap<(CompactString, CompactString), f64>,
     usual_ms: HashMap<CompactString, f64>,
 }
 
-impl Pairs {
+impl InterferenceModel {
     /// Returns the harm that a full VM's worth of `kind` does to `class`.
     pub fn harm(&self, class: &str, kind: &str) -> f64 {
         self.harm.get(&(class.into(), kind.into())).copied().unwrap_or(0.0)
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -23,15 +23,15 @@
 
 /// The speed of one filler on one worker, as a share of what it reaches alone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Speed {
+pub struct RelativeSpeed {
     share: f64,
     since_ms: u64,
 }
 
-impl Speed {
+impl RelativeSpeed {
     /// Begins with the first report of a run, which is taken to go at full speed.
-    pub fn new(now_ms: u64) -> Speed {
-        Speed { share: 1.0, since_ms: now_ms }
+    pub fn new(now_ms: u64) -> RelativeSpeed {
+        RelativeSpeed { share: 1.0, since_ms: now_ms }
     }
 
     /// Takes in a reading.
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -21,7 +21,7 @@
 
 /// What is free on a VM.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Room {
+pub struct FreeVmCapacity {
     pub free: Resources,
     pub zone: CompactString,
     pub rack: CompactString,
@@ -37,25 +37,25 @@
 }
 
 /// The cost of one more task on a VM, as the caller estimates it.
-pub trait Cost {
+pub trait PlacementCost {
     /// Returns the estimated harm that the task and the VM's other work do to each other;
     /// infinite where the task must not start.
     fn interference(&self, vm: VmId) -> f64;
 
     /// Returns how many tasks of the same job stand in the VM's zone, and in its rack.
-    fn neighbours(&self, room: &Room) -> (u32, u32);
+    fn neighbours(&self, room: &FreeVmCapacity) -> (u32, u32);
 }
 
 /// The free room of all open VMs, ordered by free processors.
 #[derive(Clone, Debug, Default)]
-pub struct Index {
-    rooms: BTreeMap<VmId, Room>,
+pub struct FreeCapacityIndex {
+    rooms: BTreeMap<VmId, FreeVmCapacity>,
     by_cpu: BTreeSet<(u32, VmId)>,
 }
 
-impl Index {
+impl FreeCapacityIndex {
     /// Sets what is free on a VM; `None` where no task may start.
-    pub fn set(&mut self, vm: VmId, room: Option<Room>) {
+    pub fn set(&mut self, vm: VmId, room: Option<FreeVmCapacity>) {
         if let Some(old) = self.rooms.remove(&vm) {
             self.by_cpu.remove(&(old.free.cpu_millicores, vm));
         }
@@ -78,7 +78,7 @@
         self.by_cpu.last().map(|(_, vm)| *vm)
     }
 
-    pub fn get(&self, vm: VmId) -> Option<&Room> {
+    pub fn get(&self, vm: VmId) -> Option<&FreeVmCapacity> {
         self.rooms.get(&vm)
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Returns the VMs of the index.
-    pub fn iter(&self) -> impl Iterator<Item = (VmId, &Room)> {
+    pub fn iter(&self) -> impl Iterator<Item = (VmId, &FreeVmCapacity)> {
         self.rooms.iter().map(|(id, it)| (*id, it))
     }
 
@@ -100,7 +100,7 @@
         &self,
         need: Resources,
         aim: PlacementStrategy,
-        cost: &impl Cost,
+        cost: &impl PlacementCost,
     ) -> Option<VmId> {
         let range = (need.cpu_millicores, VmId(0))..;
         let fitting = |vm: &VmId| self.rooms.get(vm).is_some_and(|it| fits(need, it.free));
@@ -118,12 +118,12 @@
         self.best_of(candidates.into_iter(), need, aim, cost)
     }
 
-    /// The naive twin of [`Index::choose`]: compares every VM.
+    /// The naive twin of [`FreeCapacityIndex::choose`]: compares every VM.
     pub fn choose_by_scan(
         &self,
         need: Resources,
         aim: PlacementStrategy,
-        cost: &impl Cost,
+        cost: &impl PlacementCost,
     ) -> Option<VmId> {
         let fitting = self.rooms.iter().filter(|(_, it)| fits(need, it.free)).map(|(id, _)| *id);
         self.best_of(fitting, need, aim, cost)
@@ -134,7 +134,7 @@
         candidates: impl Iterator<Item = VmId>,
         need: Resources,
         aim: PlacementStrategy,
-        cost: &impl Cost,
+        cost: &impl PlacementCost,
     ) -> Option<VmId> {
         let score = |vm: VmId| -> Option<(u32, u32, f64, u32)> {
             let room = self.rooms.get(&vm)?;
--- a/src/policy/preemption.rs
+++ b/src/policy/preemption.rs
@@ -67,7 +67,7 @@
 
 /// What an eviction is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Purpose {
+pub enum EvictionPurpose {
     UrgentStart,
     /// A service beside it is above its target.
     Relief,
@@ -89,14 +89,20 @@
     /// Returns whether `count` evictions are left, none of which is taken yet.
     ///
     /// Work that can wait leaves an eighth of the hour to urgent starts.
-    pub fn allows(&mut self, per_hour: u32, now_ms: u64, purpose: Purpose, count: u32) -> bool {
+    pub fn allows(
+        &mut self,
+        per_hour: u32,
+        now_ms: u64,
+        purpose: EvictionPurpose,
+        count: u32,
+    ) -> bool {
         let elapsed_ms = now_ms.saturating_sub(self.filled_ms) as f64;
         self.filled_ms = now_ms;
         let per_hour = f64::from(per_hour);
         self.tokens = (self.tokens + per_hour * elapsed_ms / 3_600_000.0).min(per_hour);
         let kept = match purpose {
-            Purpose::UrgentStart => 0.0,
-            Purpose::Relief => per_hour / 8.0,
+            EvictionPurpose::UrgentStart => 0.0,
+            EvictionPurpose::Relief => per_hour / 8.0,
         };
         f64::from(count) + kept <= self.tokens
     }
--- a/src/policy/task_queue.rs
+++ b/src/policy/task_queue.rs
@@ -2,7 +2,7 @@
 //!
 //! Teams come first by how little of their quota they use; within a team, urgent work, services
 //! and batch work in danger of missing its class's target go before the rest; within those, a
-//! [`Rule`] ranks tasks by size.
+//! [`RankingRule`] ranks tasks by size.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -10,7 +10,7 @@
 
 /// How tasks of one tier are ranked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Rule {
+pub enum RankingRule {
     /// First come, first served.
     Fifo,
     /// Least remaining run time first.
@@ -25,7 +25,7 @@
 
 /// What the rules know of a waiting task.
 #[derive(Clone, Copy, Debug)]
-pub struct Facts {
+pub struct RankingInput {
     /// Expected run time of the whole task.
     pub size_ms: u64,
     /// Run time kept by its checkpoint.
@@ -34,13 +34,13 @@
 }
 
 /// Returns the rank of a task; the lowest goes first.
-pub fn rank(rule: Rule, it: Facts) -> u64 {
+pub fn rank(rule: RankingRule, it: RankingInput) -> u64 {
     let remaining_ms = it.size_ms.saturating_sub(it.attained_ms).max(1);
     match rule {
-        Rule::Fifo => it.accepted_ms,
-        Rule::ShortestRemaining => remaining_ms,
-        Rule::RemainingTimesSize => it.size_ms.max(1).saturating_mul(remaining_ms),
-        Rule::LeastAttained => it.attained_ms,
+        RankingRule::Fifo => it.accepted_ms,
+        RankingRule::ShortestRemaining => remaining_ms,
+        RankingRule::RemainingTimesSize => it.size_ms.max(1).saturating_mul(remaining_ms),
+        RankingRule::LeastAttained => it.attained_ms,
     }
 }
 
@@ -56,7 +56,7 @@
 
 /// One waiting task.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Waiting {
+pub struct WaitingTask {
     pub task: TaskId,
     pub tier: Tier,
     pub rank: u64,
@@ -68,19 +68,19 @@
 #[derive(Clone, Debug, Default)]
 struct TeamQueue {
     quota: Option<Resources>,
-    running: Sum,
+    running: ResourceTotal,
     waiting: BTreeSet<(Tier, u64, TaskId)>,
 }
 
 /// A sum of resources wide enough for a whole installation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sum {
+pub struct ResourceTotal {
     pub cpu_millicores: u64,
     pub memory_mib: u64,
     pub accelerators: u64,
 }
 
-impl Sum {
+impl ResourceTotal {
     pub fn add(&mut self, it: Resources) {
         self.cpu_millicores += u64::from(it.cpu_millicores);
         self.memory_mib += u64::from(it.memory_mib);
@@ -108,13 +108,13 @@
 
 /// All waiting tasks, in order.
 #[derive(Clone, Debug, Default)]
-pub struct Queue {
+pub struct TaskQueue {
     teams: BTreeMap<CompactString, TeamQueue>,
-    tasks: HashMap<TaskId, (CompactString, Waiting)>,
+    tasks: HashMap<TaskId, (CompactString, WaitingTask)>,
     due: BTreeSet<(u64, TaskId)>,
 }
 
-impl Queue {
+impl TaskQueue {
     /// Sets a team's quota; a team without one gets nothing started.
     pub fn set_quota(&mut self, team: &str, quota: Option<Resources>) {
         self.teams.entry(team.into()).or_default().quota = quota;
@@ -126,16 +126,16 @@
     }
 
     /// Counts a task of the team as running, or no longer.
-    pub fn record_run_change(&mut self, team: &str, need: Resources, runs: Runs) {
+    pub fn record_run_change(&mut self, team: &str, need: Resources, runs: RunChange) {
         let running = &mut self.teams.entry(team.into()).or_default().running;
         match runs {
-            Runs::Starts => running.add(need),
-            Runs::Ends => running.subtract(need),
+            RunChange::Starts => running.add(need),
+            RunChange::Ends => running.subtract(need),
         }
     }
 
     /// Adds a waiting task, or replaces what was known of it.
-    pub fn insert(&mut self, team: &str, it: Waiting) {
+    pub fn insert(&mut self, team: &str, it: WaitingTask) {
         self.remove(it.task);
         let queue = self.teams.entry(team.into()).or_default();
         queue.waiting.insert((it.tier, it.rank, it.task));
@@ -146,7 +146,7 @@
     }
 
     /// Removes a task that no longer waits.
-    pub fn remove(&mut self, task: TaskId) -> Option<Waiting> {
+    pub fn remove(&mut self, task: TaskId) -> Option<WaitingTask> {
         let (team, it) = self.tasks.remove(&task)?;
         if let Some(queue) = self.teams.get_mut(&team) {
             queue.waiting.remove(&(it.tier, it.rank, task));
@@ -163,7 +163,7 @@
             && due_ms <= now_ms
         {
             let Some((team, it)) = self.tasks.get(&task).cloned() else { break };
-            self.insert(&team, Waiting { tier: Tier::Due, ..it });
+            self.insert(&team, WaitingTask { tier: Tier::Due, ..it });
         }
     }
 
@@ -201,10 +201,12 @@
     /// Teams below their quota take turns, the one with the smallest share first, as if every
     /// task tried were started. What is left of the VMs then goes to teams above their quota in
     /// the same way: they borrow, and give back by eviction when an owner needs it.
-    pub fn candidates(&self, limit: usize) -> Vec<Candidate> {
+    pub fn candidates(&self, limit: usize) -> Vec<StartCandidate> {
         let mut heads: BTreeSet<(bool, bool, u64, &CompactString)> = BTreeSet::new();
-        let mut state: HashMap<&CompactString, (Sum, std::collections::btree_set::Iter<'_, _>)> =
-            HashMap::new();
+        let mut state: HashMap<
+            &CompactString,
+            (ResourceTotal, std::collections::btree_set::Iter<'_, _>),
+        > = HashMap::new();
         for (name, it) in &self.teams {
             let (Some(quota), Some((tier, _, _))) = (it.quota, it.waiting.first()) else {
                 continue;
@@ -222,7 +224,7 @@
             let Some((_, it)) = self.tasks.get(task) else { continue };
             let quota = self.teams.get(name).and_then(|it| it.quota).unwrap_or(it.need);
             running.add(it.need);
-            res.push(Candidate { task: *task, tier: *tier, need: it.need, borrows });
+            res.push(StartCandidate { task: *task, tier: *tier, need: it.need, borrows });
             let share = running.share_permille(quota);
             if let Some((tier, _, _)) = waiting.clone().next() {
                 heads.insert((1_000 <= share, *tier != Tier::Urgent, share, name));
@@ -234,14 +236,14 @@
 
 /// Whether a task begins or ends to use its team's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Runs {
+pub enum RunChange {
     Starts,
     Ends,
 }
 
 /// A task to try now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Candidate {
+pub struct StartCandidate {
     pub task: TaskId,
     pub tier: Tier,
     pub need: Resources,
--- a/src/policy/throttling.rs
+++ b/src/policy/throttling.rs
@@ -78,7 +78,7 @@
 
 /// What a filler uses, over the time that a tail is read in.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Usage {
+pub struct CpuUsageWindow {
     pub cores: f64,
     pieces: Vec<Piece>,
     at_ms: u64,
@@ -92,10 +92,10 @@
     cores: f64,
 }
 
-impl Usage {
+impl CpuUsageWindow {
     /// Makes the usage of a filler that begins now; the default is one that began long ago.
-    pub fn begun(now_ms: u64) -> Usage {
-        Usage { at_ms: now_ms, ..Usage::default() }
+    pub fn begun(now_ms: u64) -> CpuUsageWindow {
+        CpuUsageWindow { at_ms: now_ms, ..CpuUsageWindow::default() }
     }
 
     /// Takes in a rough reading, beside what the filler would use at the pace that it was told.
--- a/src/policy/urgency.rs
+++ b/src/policy/urgency.rs
@@ -5,7 +5,7 @@
 
 /// What is known of a step that could begin.
 #[derive(Clone, Copy, Debug)]
-pub struct Claim {
+pub struct PendingStep {
     /// 0 comes first.
     pub priority: u32,
     /// It runs until it is cancelled, and earns for every moment that it is at work.
@@ -29,7 +29,7 @@
 ///
 /// Lasting tasks come first, then by priority; within one priority, what can still meet its
 /// objective comes before what cannot, least slack first.
-pub fn urgency(claim: Claim, now_ms: u64) -> Urgency {
+pub fn urgency(claim: PendingStep, now_ms: u64) -> Urgency {
     let slack_ms = claim.objective_deadline_ms as i64 - now_ms as i64 - claim.remaining_ms as i64;
     let late = u32::from(slack_ms < 0 && !claim.is_long_running);
     let class = match claim.is_long_running {
--- a/src/policy/worker_health.rs
+++ b/src/policy/worker_health.rs
@@ -75,21 +75,21 @@
 
 /// The progress of one run, as reported.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Progress {
+pub struct StallDetector {
     percent: u32,
     since_ms: u64,
 }
 
-impl Progress {
+impl StallDetector {
     /// Begins with the first report of a run.
-    pub fn new(percent: u32, now_ms: u64) -> Progress {
-        Progress { percent, since_ms: now_ms }
+    pub fn new(percent: u32, now_ms: u64) -> StallDetector {
+        StallDetector { percent, since_ms: now_ms }
     }
 
     /// Takes in a report of a run with a declared run time; returns whether it stands still.
     pub fn observe(&mut self, percent: u32, estimate_ms: u64, now_ms: u64) -> bool {
         if self.percent != percent {
-            *self = Progress::new(percent, now_ms);
+            *self = StallDetector::new(percent, now_ms);
         }
         self.since_ms + STALLED_MS.max(estimate_ms / STALLED_PART) <= now_ms
     }
--- a/src/runtime/adapters.rs
+++ b/src/runtime/adapters.rs
@@ -12,7 +12,7 @@
     link::{Link, LinkEvent},
     metrics::Metrics,
     prelude::*,
-    runtime::{disk::DiskWriter, process::Event, role::Adapter, thread_pool::Pool},
+    runtime::{disk::DiskWriter, process::Event, role::Adapter, thread_pool::ThreadPool},
 };
 
 /// Messages of this process to itself, which need no link.
@@ -20,13 +20,13 @@
 
 /// The sending side of a process's links.
 #[derive(Clone)]
-pub(super) struct Sending {
+pub(super) struct MessageSender {
     pub link: Link,
     pub own: SocketAddr,
     pub loopback: Loopback,
 }
 
-impl Sending {
+impl MessageSender {
     fn send(&self, to: SocketAddr, in_force: Revision, message: Message) {
         let envelope = Envelope { in_force, message };
         if to == self.own {
@@ -41,7 +41,7 @@
 
 /// Carries out an entry's effects.
 pub(super) struct EntryAdapter {
-    pub sending: Sending,
+    pub sending: MessageSender,
     pub pending: Pending,
     pub metrics: Arc<Metrics>,
 }
@@ -67,12 +67,12 @@
     W: Fn(WorkerCall) + Send + Sync + 'static,
     E: Fn(ExecutorCall) + Send + Sync + 'static,
 {
-    pub sending: Sending,
+    pub sending: MessageSender,
     pub pending: Pending,
     pub metrics: Arc<Metrics>,
     /// One thread, so that calls reach the worker in order.
-    pub worker: Pool<WorkerCall, W>,
-    pub executors: Pool<ExecutorCall, E>,
+    pub worker: ThreadPool<WorkerCall, W>,
+    pub executors: ThreadPool<ExecutorCall, E>,
 }
 
 impl<W, E> Adapter<AgentCore> for AgentAdapter<W, E>
@@ -98,7 +98,7 @@
 
 /// Carries out a control member's effects.
 pub(super) struct ControlAdapter {
-    pub sending: Sending,
+    pub sending: MessageSender,
     pub pending: Pending,
     pub metrics: Arc<Metrics>,
     pub disk: DiskWriter,
--- a/src/runtime/http_listeners.rs
+++ b/src/runtime/http_listeners.rs
@@ -31,14 +31,14 @@
 
 /// What every edge needs.
 #[derive(Clone)]
-pub(super) struct Edge {
+pub(super) struct HttpListener {
     pub events: Sender<Event>,
     pub metrics: Arc<Metrics>,
     pub status: Arc<RoleStatus>,
     pub pending: Pending,
 }
 
-impl Edge {
+impl HttpListener {
     /// Answers what every edge answers alike, and hands on the rest.
     fn take(&self, request: Result<HttpRequest, Refusal>) -> Result<HttpRequest, HttpAnswer> {
         let it = match request {
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Edge::start_caller`].
+    /// As [`HttpListener::start_caller`].
     pub(super) fn start_admin(self, settings: &ControlSettings) -> Result<()> {
         let tokens = Arc::new(Tokens::load(Path::new(settings.operators_file.as_str()))?);
         let pending = self.pending.clone();
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -13,7 +13,7 @@
 mod thread_pool;
 
 pub use self::{
-    process::{Ending, Event, Process, ProcessHandle},
+    process::{Event, ExitReason, Process, ProcessHandle},
     signals::{forward_signals, forward_signals_to},
     single_threaded::{Platform, SingleThreadedHandle, SingleThreadedProcess},
 };
--- a/src/runtime/process.rs
+++ b/src/runtime/process.rs
@@ -25,13 +25,13 @@
     prelude::*,
     runtime::{
         adapters::{
-            AgentAdapter, ControlAdapter, EntryAdapter, Loopback, Sending, executor_caller,
+            AgentAdapter, ControlAdapter, EntryAdapter, Loopback, MessageSender, executor_caller,
             worker_caller,
         },
         disk::{DiskSink, DiskWriter},
-        http_listeners::Edge,
+        http_listeners::HttpListener,
         role::{RoleActor, RoleStatus, start_actor},
-        thread_pool::Pool,
+        thread_pool::ThreadPool,
     },
     schema::settings::Settings,
     util::{Clock, Place},
@@ -71,7 +71,7 @@
 
 /// How a process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum ExitReason {
     /// Everything in flight had ended.
     Drained,
     /// The longest time of a planned stop was over, or a second signal came.
@@ -168,7 +168,7 @@
     /// # Errors
     ///
     /// Returns an error when it cannot start.
-    pub fn run(self) -> Result<Ending> {
+    pub fn run(self) -> Result<ExitReason> {
         let process = &self.settings.process;
         // What a control member kept is read before anything is listened on.
         let disk = match &self.settings.control {
@@ -179,7 +179,8 @@
         let link =
             Link::start(options, self.metrics.clone(), Sink { events: self.events.clone() })?;
         let loopback: Loopback = Rc::new(RefCell::new(VecDeque::new()));
-        let sending = Sending { link, own: self.settings.link.listen, loopback: loopback.clone() };
+        let sending =
+            MessageSender { link, own: self.settings.link.listen, loopback: loopback.clone() };
         let mut stakker = Stakker::new(Instant::now());
         let actors = self.start_roles(&mut stakker, disk, &sending)?;
         tracing::info!(event = "started", process = %process.name, zone = %process.zone, link = %self.settings.link.listen);
@@ -209,7 +210,7 @@
         &self,
         stakker: &mut Stakker,
         disk: Option<OpenDisk>,
-        sending: &Sending,
+        sending: &MessageSender,
     ) -> Result<
         Actors<
             impl Fn(agent::WorkerCall) + Send + Sync + 'static,
@@ -220,7 +221,7 @@
         let mut edge = || {
             let status = Arc::new(RoleStatus::default());
             statuses.push(status.clone());
-            Edge {
+            HttpListener {
                 events: self.events.clone(),
                 metrics: self.metrics.clone(),
                 status,
@@ -272,8 +273,11 @@
                     sending: sending.clone(),
                     pending: edge.pending.clone(),
                     metrics: metrics.clone(),
-                    worker: Pool::new(1, worker_caller(settings.worker, self.events.clone())),
-                    executors: Pool::new(threads, executor_caller(threads, self.events.clone())),
+                    worker: ThreadPool::new(1, worker_caller(settings.worker, self.events.clone())),
+                    executors: ThreadPool::new(
+                        threads,
+                        executor_caller(threads, self.events.clone()),
+                    ),
                 };
                 let core = AgentCore::new(options, metrics.clone());
                 let status = edge.status.clone();
@@ -314,7 +318,7 @@
         stakker: &mut Stakker,
         actors: &Actors<W, E>,
         loopback: &Loopback,
-    ) -> Ending
+    ) -> ExitReason
     where
         W: Fn(agent::WorkerCall) + Send + Sync + 'static,
         E: Fn(agent::ExecutorCall) + Send + Sync + 'static,
@@ -332,11 +336,11 @@
             let local = std::mem::take(&mut *loopback.borrow_mut());
             for event in first.into_iter().chain(rest).chain(local) {
                 match event {
-                    Event::Kill => return Ending::CutOff,
+                    Event::Kill => return ExitReason::CutOff,
                     Event::DiskFailed(report) => {
                         // What the disk holds is not known; only a restart reads it back.
                         tracing::error!(event = "disk_failed", error = %format_args!("{report:#}"));
-                        return Ending::Failed;
+                        return ExitReason::Failed;
                     }
                     Event::Stop => {
                         stopping.get_or_insert_with(Instant::now);
@@ -350,12 +354,12 @@
             let drain_max = Duration::from_millis(self.settings.process.drain_max_ms.into());
             let drained = actors.statuses.iter().all(|it| it.is_drained());
             match since.elapsed() {
-                elapsed if drained && STOP_MIN <= elapsed => return Ending::Drained,
-                elapsed if drain_max <= elapsed => return Ending::CutOff,
+                elapsed if drained && STOP_MIN <= elapsed => return ExitReason::Drained,
+                elapsed if drain_max <= elapsed => return ExitReason::CutOff,
                 _ => (),
             }
         }
-        Ending::Failed
+        ExitReason::Failed
     }
 }
 
--- a/src/runtime/single_threaded/adapters.rs
+++ b/src/runtime/single_threaded/adapters.rs
@@ -29,13 +29,13 @@
 
 /// The sending side of the process's links.
 #[derive(Clone)]
-pub(super) struct Sending {
+pub(super) struct MessageSender {
     pub link: Link,
     pub own: SocketAddr,
     pub loopback: Loopback,
 }
 
-impl Sending {
+impl MessageSender {
     fn send(&self, to: SocketAddr, message: Message) {
         if to == self.own {
             self.loopback.borrow_mut().push_back((to, message));
@@ -46,7 +46,7 @@
 }
 
 pub(super) struct GatewayAdapter<P: Platform> {
-    pub sending: Sending,
+    pub sending: MessageSender,
     pub pending: Pending,
     pub platform: P,
     pub is_stopping: Rc<Cell<bool>>,
@@ -56,14 +56,14 @@
 }
 
 impl<P: Platform> GatewayAdapter<P> {
-    fn count(&self, answer: &gateway::Answer, took_ms: u64) {
+    fn count(&self, answer: &gateway::GatewayAnswer, took_ms: u64) {
         let end = match answer {
-            gateway::Answer::Told(_) => "told",
-            gateway::Answer::NotTaken { cause, .. } => {
+            gateway::GatewayAnswer::Told(_) => "told",
+            gateway::GatewayAnswer::NotTaken { cause, .. } => {
                 self.metrics.gateway_refused(*cause);
                 "not_taken"
             }
-            gateway::Answer::Unknown => "unknown",
+            gateway::GatewayAnswer::Unknown => "unknown",
         };
         self.metrics.gateway_answered(end, took_ms as f64 / 1_000.0);
     }
@@ -90,7 +90,7 @@
 }
 
 pub(super) struct NodeAdapter<P: Platform> {
-    pub sending: Sending,
+    pub sending: MessageSender,
     pub platform: P,
     pub pool: OutgoingPool,
     pub timeout_ms: u64,
@@ -131,7 +131,7 @@
 const STALE_CALL_MS: u64 = 300;
 
 pub(super) struct MemberAdapter {
-    pub sending: Sending,
+    pub sending: MessageSender,
     pub disk: DiskWriter,
     pub metrics: Arc<Metrics>,
 }
--- a/src/runtime/single_threaded/mod.rs
+++ b/src/runtime/single_threaded/mod.rs
@@ -37,10 +37,10 @@
     prelude::*,
     runtime::{
         disk::{DiskSink, DiskWriter},
-        process::Ending,
+        process::ExitReason,
         role::{RoleActor, RoleStatus, start_actor},
         single_threaded::{
-            adapters::{GatewayAdapter, Loopback, MemberAdapter, NodeAdapter, Sending},
+            adapters::{GatewayAdapter, Loopback, MemberAdapter, MessageSender, NodeAdapter},
             options::{control_links, gateway_options, member_settings, node_options, small},
         },
     },
@@ -78,7 +78,7 @@
     fn operator_request(&self, it: &HttpRequest) -> Result<(WorkflowRequest, u64), HttpAnswer>;
 
     /// Writes the answer to either.
-    fn answer(&self, it: &gateway::Answer) -> HttpAnswer;
+    fn answer(&self, it: &gateway::GatewayAnswer) -> HttpAnswer;
 
     /// Writes the answer to a request that could not be read.
     fn refusal(&self, it: &Refusal) -> HttpAnswer;
@@ -227,7 +227,7 @@
     /// # Errors
     ///
     /// Returns an error when it cannot start.
-    pub fn run(self) -> Result<Ending> {
+    pub fn run(self) -> Result<ExitReason> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
@@ -235,7 +235,7 @@
         tokio::task::LocalSet::new().block_on(&runtime, self.run_local())
     }
 
-    async fn run_local(mut self) -> Result<Ending> {
+    async fn run_local(mut self) -> Result<ExitReason> {
         let process = self.settings.process.clone();
         // What a member kept is read before anything is listened on.
         let disk = match &self.settings.dispatch {
@@ -245,7 +245,8 @@
         let options = LinkOptions::new(&self.settings);
         let link = Link::start_local(options, self.metrics.clone(), self.handle.clone())?;
         let loopback = Loopback::default();
-        let sending = Sending { link, own: self.settings.link.listen, loopback: loopback.clone() };
+        let sending =
+            MessageSender { link, own: self.settings.link.listen, loopback: loopback.clone() };
         let mut stakker = Stakker::new(Instant::now());
         let actors = self.start_roles(&mut stakker, disk, &sending)?;
         tracing::info!(event = "started", process = %process.name, zone = %process.zone, link = %self.settings.link.listen, roles = ?process.roles);
@@ -273,7 +274,7 @@
         &self,
         stakker: &mut Stakker,
         disk: Option<OpenDisk>,
-        sending: &Sending,
+        sending: &MessageSender,
     ) -> Result<Actors<P>> {
         let mut statuses = Vec::new();
         let mut status = || {
@@ -455,7 +456,7 @@
         stakker: &mut Stakker,
         actors: &Actors<P>,
         loopback: &Loopback,
-    ) -> Ending {
+    ) -> ExitReason {
         let mut stopping: Option<Instant> = None;
         stakker.run(Instant::now(), false);
         while stakker.not_shutdown() {
@@ -479,11 +480,11 @@
             }
             for event in batch {
                 match event {
-                    Event::Kill => return Ending::CutOff,
+                    Event::Kill => return ExitReason::CutOff,
                     Event::DiskFailed(report) => {
                         // What the disk holds is not known; only a restart reads it back.
                         tracing::error!(event = "disk_failed", error = %format_args!("{report:#}"));
-                        return Ending::Failed;
+                        return ExitReason::Failed;
                     }
                     Event::Stop => {
                         stopping.get_or_insert_with(Instant::now);
@@ -504,12 +505,12 @@
             };
             let drained = drained && quiet <= actors.served.get().elapsed();
             match since.elapsed() {
-                elapsed if drained && least <= elapsed => return Ending::Drained,
-                elapsed if drain_max <= elapsed => return Ending::CutOff,
+                elapsed if drained && least <= elapsed => return ExitReason::Drained,
+                elapsed if drain_max <= elapsed => return ExitReason::CutOff,
                 _ => (),
             }
         }
-        Ending::Failed
+        ExitReason::Failed
     }
 
     /// Reads the settings again; only the control addresses can change while it runs.
--- a/src/runtime/thread_pool.rs
+++ b/src/runtime/thread_pool.rs
@@ -11,7 +11,7 @@
 use crossbeam_channel::{Receiver, Sender};
 
 /// A bounded number of threads that each run one job at a time.
-pub(super) struct Pool<J, R> {
+pub(super) struct ThreadPool<J, R> {
     jobs: Sender<J>,
     receiver: Receiver<J>,
     idle: Arc<AtomicUsize>,
@@ -20,11 +20,11 @@
     run: Arc<R>,
 }
 
-impl<J: Send + 'static, R: Fn(J) + Send + Sync + 'static> Pool<J, R> {
+impl<J: Send + 'static, R: Fn(J) + Send + Sync + 'static> ThreadPool<J, R> {
     /// Makes a pool without threads.
-    pub(super) fn new(threads_max: usize, run: R) -> Pool<J, R> {
+    pub(super) fn new(threads_max: usize, run: R) -> ThreadPool<J, R> {
         let (jobs, receiver) = crossbeam_channel::unbounded();
-        Pool {
+        ThreadPool {
             jobs,
             receiver,
             idle: Arc::new(AtomicUsize::new(0)),
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used)]
 
 use aspenrail::{
-    link::{FrameError, Frames, encode_frame},
+    link::{FrameDecoder, FrameError, encode_frame},
     prelude::*,
 };
 use proptest::prelude::*;
@@ -27,7 +27,7 @@
 
     #[test]
     fn any_bytes_are_refused_or_decoded_without_harm(data in proptest::collection::vec(any::<u8>(), 0..600), cut in 0_usize..600) {
-        let mut frames = Frames::new(MAX_BYTES);
+        let mut frames = FrameDecoder::new(MAX_BYTES);
         let cut = cut.min(data.len());
         for part in [&data[..cut], &data[cut..]] {
             frames.push(part);
@@ -39,7 +39,7 @@
     fn frames_survive_any_split(texts in proptest::collection::vec("[a-z]{0,40}", 1..6), step in 1_usize..50) {
         let sent: Vec<_> = texts.iter().enumerate().map(|(at, it)| envelope(at as u64, it)).collect();
         let stream: Vec<u8> = sent.iter().flat_map(|it| encode_frame(it, MAX_BYTES).unwrap().to_vec()).collect();
-        let mut frames = Frames::new(MAX_BYTES);
+        let mut frames = FrameDecoder::new(MAX_BYTES);
         let mut received = Vec::new();
         for part in stream.chunks(step) {
             frames.push(part);
@@ -55,7 +55,7 @@
         let mut data = encode_frame(&envelope(7, "text"), MAX_BYTES).unwrap().to_vec();
         let at = at % data.len();
         data[at] ^= flip;
-        let mut frames = Frames::new(MAX_BYTES);
+        let mut frames = FrameDecoder::new(MAX_BYTES);
         frames.push(&data);
         while let Ok(Some(_)) = frames.next_frame::<Envelope>() {}
     }
@@ -66,7 +66,7 @@
     let text = "x".repeat(MAX_BYTES);
     let large = envelope(1, &text);
     assert!(matches!(encode_frame(&large, MAX_BYTES), Err(FrameError::TooLarge { .. })));
-    let mut frames = Frames::new(MAX_BYTES);
+    let mut frames = FrameDecoder::new(MAX_BYTES);
     frames.push(&encode_frame(&large, 1 << 20).unwrap()[..8]);
     assert!(matches!(frames.next_frame::<Envelope>(), Err(FrameError::TooLarge { .. })));
 }
@@ -76,7 +76,7 @@
     let mut data = encode_frame(&envelope(1, "a"), MAX_BYTES).unwrap().to_vec();
     data.push(0);
     data[0] += 1;
-    let mut frames = Frames::new(MAX_BYTES);
+    let mut frames = FrameDecoder::new(MAX_BYTES);
     frames.push(&data);
     assert!(matches!(frames.next_frame::<Envelope>(), Err(FrameError::Undecodable(_))));
 }
@@ -95,7 +95,7 @@
     ];
     for message in messages {
         let sent = Envelope { in_force: Revision(1), message };
-        let mut frames = Frames::new(MAX_BYTES);
+        let mut frames = FrameDecoder::new(MAX_BYTES);
         frames.push(&encode_frame(&sent, MAX_BYTES).unwrap());
         assert_eq!(frames.next_frame::<Envelope>().unwrap(), Some(sent));
     }
--- a/tests/fillers.rs
+++ b/tests/fillers.rs
@@ -4,15 +4,15 @@
 use aspenrail::{
     policy::{
         contention::{
-            ContentionModel, Filler, Serving,
-            images::{ImageKey, Images},
+            ContentionModel, FillerLoad, ServingTask,
+            images::{ImageKey, ImageTable},
             reference_cores,
-            similarity::{Estimates, Evidence, Readings},
+            similarity::{CostEstimates, CostObservation, PairObservations},
         },
-        migration::{MigrationCandidate, Speed, is_worth_moving},
-        throttling::{FillerReading, ServingReading, Throttler, Usage},
-        urgency::{Claim, urgency},
-        worker_health::{Progress, WorkerHealth},
+        migration::{MigrationCandidate, RelativeSpeed, is_worth_moving},
+        throttling::{CpuUsageWindow, FillerReading, ServingReading, Throttler},
+        urgency::{PendingStep, urgency},
+        worker_health::{StallDetector, WorkerHealth},
     },
     prelude::*,
 };
@@ -26,7 +26,7 @@
 /// wrong.
 struct Beside {
     throttler: Throttler,
-    usage: Usage,
+    usage: CpuUsageWindow,
     now_ms: u64,
     rest_percent: f64,
     cost_percent: f64,
@@ -40,7 +40,7 @@
 
 impl Beside {
     fn new(cost_percent: f64, told_percent: f64) -> Beside {
-        let (throttler, usage) = (Throttler::new(HARM_MAX_MS), Usage::default());
+        let (throttler, usage) = (Throttler::new(HARM_MAX_MS), CpuUsageWindow::default());
         Beside { throttler, usage, now_ms: 1_000, rest_percent: 250.0, cost_percent, told_percent }
     }
 
@@ -146,7 +146,7 @@
     starved = { 2.0, 10.0, 2.0 },
 )]
 fn a_rough_reading_is_told_from_a_lack_of_processor(read: f64, wanted: f64, expected: f64) {
-    let mut usage = Usage::default();
+    let mut usage = CpuUsageWindow::default();
     (1..40).for_each(|it| usage.observe(read, wanted, it * 250));
     assert!((usage.cores - expected).abs() < 0.1, "{usage:?}");
 }
@@ -162,11 +162,11 @@
         let noise = (random.f64() - 0.5) * 30.0;
         let (heavy, light) = (random.f64() * 6.0, random.f64() * 6.0);
         let fillers = [
-            Filler { image: harm.image("heavy"), cores: heavy },
-            Filler { image: harm.image("light"), cores: light },
+            FillerLoad { image: harm.image("heavy"), cores: heavy },
+            FillerLoad { image: harm.image("light"), cores: light },
         ];
         let image = harm.image("web");
-        let serving = |index: u32, headroom_percent: f64| Serving {
+        let serving = |index: u32, headroom_percent: f64| ServingTask {
             run: run(1, index),
             image,
             headroom_percent,
@@ -193,13 +193,13 @@
             let beside: Vec<_> = fillers
                 .iter()
                 .filter(|_| random.bool())
-                .map(|it| Filler { image: harm.image(it), cores: 7.0 })
+                .map(|it| FillerLoad { image: harm.image(it), cores: 7.0 })
                 .collect();
             let taken: f64 = beside.iter().map(|it| 0.7 * it.cores).sum();
             let rough = 1.0 + (random.f64() + random.f64() - 1.0) * 0.25;
             let headroom_percent = (250.0 - taken) * rough;
             harm.observe(
-                &[Serving { run: run(1, index), image, headroom_percent }],
+                &[ServingTask { run: run(1, index), image, headroom_percent }],
                 &beside,
                 at * 250,
             );
@@ -221,12 +221,12 @@
         let rest = 330.0 - at as f64 * 25.0;
         for index in 0..6 {
             let cores = if index < 4 { 7.0 } else { 0.0 };
-            let heavy = Filler { image: harm.image("heavy"), cores };
+            let heavy = FillerLoad { image: harm.image("heavy"), cores };
             let rough = 1.0 + (random.f64() + random.f64() - 1.0) * 0.25;
             let headroom_percent = (rest - 13.0 * cores) * rough;
             let beside = if index < 4 { vec![heavy] } else { Vec::new() };
             harm.observe(
-                &[Serving { run: run(1, index), image, headroom_percent }],
+                &[ServingTask { run: run(1, index), image, headroom_percent }],
                 &beside,
                 at * 500,
             );
@@ -246,8 +246,11 @@
     let mut most_off: f64 = 0.0;
     for at in 0..160_u64 {
         let load = 0.45 * (1.0 + 0.6 * (at as f64 * 0.25 / 14.0 * std::f64::consts::TAU).sin());
-        let serving =
-            |index| Serving { run: run(1, index), image, headroom_percent: 500.0 * (1.0 - load) };
+        let serving = |index| ServingTask {
+            run: run(1, index),
+            image,
+            headroom_percent: 500.0 * (1.0 - load),
+        };
         harm.observe(&[serving(0), serving(1), serving(2)], &[], at * 250);
         if 60 <= at {
             most_off = most_off.max((harm.use_share(image, group) - load).abs());
@@ -264,7 +267,7 @@
 
 #[test]
 fn what_a_filler_used_counts_until_tails_no_longer_tell_of_it() {
-    let mut usage = Usage::begun(1_000);
+    let mut usage = CpuUsageWindow::begun(1_000);
     usage.observe(2.0, 2.0, 1_350);
     assert_eq!(usage.cores, 1.0, "half of the 700 ms before a reading");
     usage.pass(1_875);
@@ -279,13 +282,13 @@
     for at in 0..200_u64 {
         let now_ms = at * 250;
         let image = harm.image("web");
-        let serving = |index: u32, headroom_percent: f64| Serving {
+        let serving = |index: u32, headroom_percent: f64| ServingTask {
             run: run(1, index),
             image,
             headroom_percent,
         };
-        let other = Filler { image: harm.image(&format!("other-{at}")), cores: 3.0 };
-        let heavy = Filler { image: harm.image("heavy"), cores: 6.0 };
+        let other = FillerLoad { image: harm.image(&format!("other-{at}")), cores: 3.0 };
+        let heavy = FillerLoad { image: harm.image("heavy"), cores: 6.0 };
         harm.observe(&[serving(0, 270.0)], &[], now_ms);
         harm.observe(&[serving(1, 270.0 - 6.0 * 12.0)], &[heavy, other], now_ms);
     }
@@ -302,19 +305,19 @@
 
 /// Keys of a service and a filler among some services, numbered as [`readings`] does.
 fn keys(services: u32, service: u32, filler: u32) -> (ImageKey, ImageKey) {
-    let mut images = Images::default();
+    let mut images = ImageTable::default();
     let services: Vec<_> = (0..services).map(|it| images.key(&format!("service-{it}"))).collect();
     let fillers: Vec<_> = (0..=filler).map(|it| images.key(&format!("filler-{it}"))).collect();
     (services[service as usize], fillers[filler as usize])
 }
 
 /// Readings of services by fillers, row by row; a negative cost stands for a pair not seen.
-fn readings(costs_percent: &[&[f64]]) -> Readings {
-    let evidence = |it: &f64| (0.0 <= *it).then_some(Evidence { mean: *it, variance: 1.0 });
-    let mut images = Images::default();
+fn readings(costs_percent: &[&[f64]]) -> PairObservations {
+    let evidence = |it: &f64| (0.0 <= *it).then_some(CostObservation { mean: *it, variance: 1.0 });
+    let mut images = ImageTable::default();
     let mut keys =
         |kind: &str, count| (0..count).map(|it| images.key(&format!("{kind}-{it}"))).collect();
-    Readings {
+    PairObservations {
         serving: keys("service", costs_percent.len()),
         fillers: keys("filler", costs_percent[0].len()),
         pairs: costs_percent.iter().map(|row| row.iter().map(evidence).collect()).collect(),
@@ -332,7 +335,7 @@
     most: f64,
 ) {
     // The first three fillers are dear to the first two services, the others to the other two.
-    let it = Estimates::new(readings(&[
+    let it = CostEstimates::new(readings(&[
         &[8.0, 7.0, -1.0, 1.0, 0.5, 1.0],
         &[9.0, 8.0, 8.0, 0.5, 1.0, 0.5],
         &[0.5, 1.0, 1.0, 8.0, 9.0, 8.0],
@@ -346,7 +349,7 @@
 #[test]
 fn pairs_that_have_nothing_in_common_tell_nothing_of_each_other() {
     let rows: [&[f64]; 3] = [&[9.0, 0.5, 9.0, -1.0], &[0.5, 9.0, 0.5, 9.0], &[9.0, 9.0, 0.5, 0.5]];
-    let it = Estimates::new(readings(&rows));
+    let it = CostEstimates::new(readings(&rows));
     let (service, first) = keys(3, 0, 0);
     let seen = it.get(service, first).unwrap();
     assert!((7.0..=9.5).contains(&seen), "{seen}; 9 was read");
@@ -365,15 +368,15 @@
     // Fillers a and b are dear to the web service. The mail service has met only a so far.
     let (web, mail) = (harm.image("web"), harm.image("mail"));
     let (a, b) = (harm.image("a"), harm.image("b"));
-    let beside = |image, cores| vec![Filler { image, cores }];
+    let beside = |image, cores| vec![FillerLoad { image, cores }];
     for step in 1..40 {
         let now_ms = step * 500;
         let read = |workflow, image, headroom_percent| {
-            vec![Serving { run: run(workflow, 0), image, headroom_percent }]
+            vec![ServingTask { run: run(workflow, 0), image, headroom_percent }]
         };
         harm.observe(&read(1, web, 300.0), &[], now_ms);
         let sibling = |workflow, image, headroom_percent| {
-            vec![Serving { run: run(workflow, 1), image, headroom_percent }]
+            vec![ServingTask { run: run(workflow, 1), image, headroom_percent }]
         };
         let filler = if step % 2 == 0 { a } else { b };
         harm.observe(&sibling(1, web, 220.0), &beside(filler, 8.0), now_ms);
@@ -388,11 +391,11 @@
 fn a_queue_that_is_worked_off_is_not_blamed_on_what_runs_then() {
     let mut harm = ContentionModel::default();
     let image = harm.image("web");
-    let serving = |headroom_percent: f64| Serving { run: run(1, 0), image, headroom_percent };
+    let serving = |headroom_percent: f64| ServingTask { run: run(1, 0), image, headroom_percent };
     let group = StepRef::of(run(1, 0).task);
     harm.observe(&[serving(250.0)], &[], 1_000);
     let batch = harm.image("batch");
-    harm.observe(&[serving(20.0)], &[Filler { image: batch, cores: 8.0 }], 1_250);
+    harm.observe(&[serving(20.0)], &[FillerLoad { image: batch, cores: 8.0 }], 1_250);
     let before = harm.rest_percent(image, group);
     // The fillers are gone, and the tail falls only slowly.
     harm.observe(&[serving(110.0)], &[], 1_500);
@@ -432,7 +435,7 @@
 
 #[test]
 fn a_speed_is_judged_only_once_it_was_watched() {
-    let mut speed = Speed::new(0);
+    let mut speed = RelativeSpeed::new(0);
     (0..6).for_each(|_| speed.observe(0.0));
     assert_eq!(speed.speed_share_if_slow(1_000), None);
     assert!(speed.speed_share_if_slow(1_500).is_some_and(|it| it < 0.1));
@@ -463,7 +466,7 @@
     pause_ms: u64,
     stalls: bool,
 ) {
-    let mut progress = Progress::new(0, 0);
+    let mut progress = StallDetector::new(0, 0);
     let mut found = false;
     for at in 1..=30_u32 {
         found |= progress.observe(at * step_percent, estimate_ms, u64::from(at) * pause_ms);
@@ -473,17 +476,17 @@
 
 #[test]
 fn the_order_is_lasting_then_priority_then_what_can_still_meet_its_objective() {
-    let claim = Claim {
+    let claim = PendingStep {
         priority: 1,
         is_long_running: false,
         objective_deadline_ms: 10_000,
         remaining_ms: 1_000,
         work_core_ms: 5_000,
     };
-    let lasting = Claim { is_long_running: true, priority: 3, ..claim };
-    let urgent = Claim { priority: 0, work_core_ms: 90_000, ..claim };
-    let late = Claim { objective_deadline_ms: 500, work_core_ms: 1, ..claim };
-    let large = Claim { work_core_ms: 6_000, ..claim };
+    let lasting = PendingStep { is_long_running: true, priority: 3, ..claim };
+    let urgent = PendingStep { priority: 0, work_core_ms: 90_000, ..claim };
+    let late = PendingStep { objective_deadline_ms: 500, work_core_ms: 1, ..claim };
+    let large = PendingStep { work_core_ms: 6_000, ..claim };
     let order = [lasting, urgent, claim, large, late];
     assert!(order.is_sorted_by_key(|it| urgency(*it, 0)));
 }
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -4,17 +4,17 @@
 use std::collections::BTreeMap;
 
 use aspenrail::{
-    control::state::{NO_RESOURCES, Step, add, fits, subtract, transition},
+    control::state::{NO_RESOURCES, TaskTransition, add, fits, subtract, transition},
     policy::{
-        admission::{FairQueue, Rejection, Waiting},
-        feedback::{Action, Loop, Report},
-        interference::{Pairs, Past},
-        placement::{Cost, Index, PlacementStrategy, Room},
-        preemption::{EvictionBudget, Purpose, Victim, choose_victims},
+        admission::{FairQueue, Rejection, WaitingRequest},
+        feedback::{FeedbackAction, FeedbackLoop, TailLatencyReport},
+        interference::{InterferenceModel, WorkloadHistory},
+        placement::{FreeCapacityIndex, FreeVmCapacity, PlacementCost, PlacementStrategy},
+        preemption::{EvictionBudget, EvictionPurpose, Victim, choose_victims},
         retry::{Ejection, RetryBudget},
         routing::{self, EndpointView},
         run_times::RunTimeEstimates,
-        task_queue::{self, Facts, Queue, Rule, Runs, Tier},
+        task_queue::{self, RankingInput, RankingRule, RunChange, TaskQueue, Tier},
     },
     prelude::*,
 };
@@ -36,12 +36,12 @@
 /// A cost that differs from VM to VM, and forbids some.
 struct SomeCost;
 
-impl Cost for SomeCost {
+impl PlacementCost for SomeCost {
     fn interference(&self, vm: VmId) -> f64 {
         if vm.0.is_multiple_of(7) { f64::INFINITY } else { f64::from(vm.0 % 3) }
     }
 
-    fn neighbours(&self, room: &Room) -> (u32, u32) {
+    fn neighbours(&self, room: &FreeVmCapacity) -> (u32, u32) {
         (room.zone.len() as u32 % 2, 0)
     }
 }
@@ -57,10 +57,10 @@
         need in (1_u32..8_000, 1_u32..8_000),
         spread in any::<bool>(),
     ) {
-        let mut index = Index::default();
+        let mut index = FreeCapacityIndex::default();
         for (at, (cpu, memory)) in rooms.iter().enumerate() {
             let zone = format_compact!("{}", "z".repeat(at % 3 + 1));
-            index.set(VmId(at as u32), Some(Room { free: resources(*cpu, *memory), zone, rack: "r".into() }));
+            index.set(VmId(at as u32), Some(FreeVmCapacity { free: resources(*cpu, *memory), zone, rack: "r".into() }));
         }
         let need = resources(need.0, need.1);
         let aim = if spread { PlacementStrategy::Spread } else { PlacementStrategy::Pack };
@@ -83,13 +83,13 @@
     ) {
         let quota = resources(10_000, 10_000);
         let teams = ["a", "b", "c"];
-        let mut queue = Queue::default();
+        let mut queue = TaskQueue::default();
         teams.iter().for_each(|it| queue.set_quota(it, Some(quota)));
         let mut naive: Vec<(usize, Tier, u64, TaskId, u32)> = Vec::new();
         for (at, (team, tier, rank, cpu)) in tasks.iter().enumerate() {
             let tier = [Tier::Urgent, Tier::Service, Tier::Due, Tier::Batch][*tier as usize];
             let task = TaskId(at as u64);
-            queue.insert(teams[*team], task_queue::Waiting { task, tier, rank: *rank, need: resources(*cpu, 1), due_ms: None });
+            queue.insert(teams[*team], task_queue::WaitingTask { task, tier, rank: *rank, need: resources(*cpu, 1), due_ms: None });
             naive.push((*team, tier, *rank, task, *cpu));
         }
         let found: Vec<_> = queue.candidates(usize::MAX).into_iter().map(|it| it.task).collect();
@@ -142,7 +142,7 @@
         let mut queue = FairQueue::new();
         let mut waiting = BTreeMap::new();
         for (at, team) in pushes.iter().enumerate() {
-            queue.push(teams[*team], Waiting { key: (at, *team), deadline_ms: 0 }, usize::MAX).unwrap();
+            queue.push(teams[*team], WaitingRequest { key: (at, *team), deadline_ms: 0 }, usize::MAX).unwrap();
             *waiting.entry(*team).or_insert(0) += 1;
         }
         let mut served: BTreeMap<usize, i64> = waiting.keys().map(|it| (*it, 0)).collect();
@@ -188,11 +188,12 @@
                 let Some(next) = transition(state, *step, has_checkpoint) else { continue };
                 assert!(!state.is_final(), "{state} is final, and took {step:?}");
                 assert!(
-                    *step == Step::Start || !(state.is_waiting() && next.holds_resources()),
+                    *step == TaskTransition::Start
+                        || !(state.is_waiting() && next.holds_resources()),
                     "{state} {step:?}"
                 );
                 assert!(
-                    *step != Step::Completed || next == Completed,
+                    *step != TaskTransition::Completed || next == Completed,
                     "a completion is never lost"
                 );
                 assert!(state != Stopping || next.is_final(), "what is cancelled never runs again");
@@ -213,13 +214,13 @@
 fn full_queue_costs_the_team_that_fills_it() {
     let mut queue = FairQueue::new();
     for at in 0..4 {
-        queue.push("noisy", Waiting { key: at, deadline_ms: 0 }, 4).unwrap();
+        queue.push("noisy", WaitingRequest { key: at, deadline_ms: 0 }, 4).unwrap();
     }
     assert_eq!(
-        queue.push("noisy", Waiting { key: 9, deadline_ms: 0 }, 4),
+        queue.push("noisy", WaitingRequest { key: 9, deadline_ms: 0 }, 4),
         Err(Rejection::TeamShare)
     );
-    let displaced = queue.push("quiet", Waiting { key: 5, deadline_ms: 0 }, 4).unwrap();
+    let displaced = queue.push("quiet", WaitingRequest { key: 5, deadline_ms: 0 }, 4).unwrap();
     assert_eq!(displaced.map(|it| it.key), Some(3), "the newest of the noisy team");
     assert_eq!(queue.len(), 4);
 }
@@ -252,7 +253,7 @@
 
 #[test]
 fn harm_is_credited_to_what_ran_then() {
-    let (mut past, mut pairs) = (Past::default(), Pairs::default());
+    let (mut past, mut pairs) = (WorkloadHistory::default(), InterferenceModel::default());
     let noisy = vec![(CompactString::from("noisy"), 0.5)];
     let calm = vec![(CompactString::from("calm"), 0.5)];
     // The reports lag by 2 s; by then the neighbour has changed.
@@ -271,7 +272,7 @@
 /// let go when they fit, and the VM opens again after each wave.
 #[test]
 fn noisy_tasks_arrive_in_waves() {
-    let mut feedback = Loop::default();
+    let mut feedback = FeedbackLoop::default();
     let (mut throttles, mut opened) = (0, 0);
     for second in 0..200_u64 {
         let is_noisy = (second / 20) % 2 == 0;
@@ -282,30 +283,35 @@
             (false, _) => 20,
         };
         let unthrottled_tail_ms = if is_noisy && throttled { 90 } else { tail_ms };
-        let report = Report { tail_ms, unthrottled_tail_ms, target_ms: 50, lag_ms: 1_000 };
+        let report =
+            TailLatencyReport { tail_ms, unthrottled_tail_ms, target_ms: 50, lag_ms: 1_000 };
         let was_closed = feedback.is_closed();
         let action = feedback.observe(second * 1_000, report, Some(TaskId(1)));
-        throttles += u32::from(matches!(action, Action::Throttle { .. }));
+        throttles += u32::from(matches!(action, FeedbackAction::Throttle { .. }));
         opened += u32::from(was_closed && !feedback.is_closed());
-        assert!(!matches!(action, Action::Move { .. }), "a throttle is enough here");
+        assert!(!matches!(action, FeedbackAction::Move { .. }), "a throttle is enough here");
     }
     assert_eq!((throttles, opened), (5, 5), "one step each way for each of five waves");
 }
 
 #[test]
 fn feedback_does_not_oscillate_under_lag() {
-    let mut feedback = Loop::default();
+    let mut feedback = FeedbackLoop::default();
     let task = TaskId(1);
     let mut actions = Vec::new();
     // Reports every second tell of 5 s ago: the tail stays high for 5 s after the throttle.
     for second in 0..60_u64 {
         let tail_ms = if second < 7 { 100 } else { 45 };
         let action = {
-            let report =
-                Report { tail_ms, unthrottled_tail_ms: tail_ms + 10, target_ms: 50, lag_ms: 5_000 };
+            let report = TailLatencyReport {
+                tail_ms,
+                unthrottled_tail_ms: tail_ms + 10,
+                target_ms: 50,
+                lag_ms: 5_000,
+            };
             feedback.observe(second * 1_000, report, Some(task))
         };
-        if action != Action::None {
+        if action != FeedbackAction::None {
             actions.push((second, action));
         }
     }
@@ -314,11 +320,16 @@
         1,
         "one step, and the gap between low and target holds it: {actions:?}"
     );
-    assert!(matches!(actions[0].1, Action::Throttle { .. }));
+    assert!(matches!(actions[0].1, FeedbackAction::Throttle { .. }));
     assert!(feedback.is_closed());
 }
 
-fn try_take(budget: &mut EvictionBudget, per_hour: u32, now_ms: u64, purpose: Purpose) -> bool {
+fn try_take(
+    budget: &mut EvictionBudget,
+    per_hour: u32,
+    now_ms: u64,
+    purpose: EvictionPurpose,
+) -> bool {
     let allowed = budget.allows(per_hour, now_ms, purpose, 1);
     if allowed {
         budget.take(1);
@@ -331,16 +342,16 @@
 fn refused_evictions_cost_nothing() {
     let mut budget = EvictionBudget::new(40, 0);
     for _ in 0..100 {
-        assert!(!budget.allows(40, 0, Purpose::UrgentStart, 11));
+        assert!(!budget.allows(40, 0, EvictionPurpose::UrgentStart, 11));
     }
-    assert!(budget.allows(40, 0, Purpose::UrgentStart, 10));
+    assert!(budget.allows(40, 0, EvictionPurpose::UrgentStart, 10));
 }
 
 #[test]
 fn eviction_budget_is_kept_over_an_hour() {
     let mut budget = EvictionBudget::new(12, 0);
     let taken = (0..3_600)
-        .filter(|second| try_take(&mut budget, 12, second * 1_000, Purpose::UrgentStart))
+        .filter(|second| try_take(&mut budget, 12, second * 1_000, EvictionPurpose::UrgentStart))
         .count();
     assert!((12..=15).contains(&taken), "{taken}");
 }
@@ -348,8 +359,9 @@
 #[test]
 fn relief_leaves_evictions_to_urgent_starts() {
     let mut budget = EvictionBudget::new(80, 0);
-    let relief = (0..100).filter(|_| try_take(&mut budget, 80, 0, Purpose::Relief)).count();
-    let urgent = (0..100).filter(|_| try_take(&mut budget, 80, 0, Purpose::UrgentStart)).count();
+    let relief = (0..100).filter(|_| try_take(&mut budget, 80, 0, EvictionPurpose::Relief)).count();
+    let urgent =
+        (0..100).filter(|_| try_take(&mut budget, 80, 0, EvictionPurpose::UrgentStart)).count();
     assert_eq!((relief, urgent), (10, 10));
 }
 
@@ -406,25 +418,25 @@
 };
 
 #[yare::parameterized(
-    fifo = { Rule::Fifo, 1 },
-    shortest = { Rule::ShortestRemaining, 2 },
-    remaining_times_size = { Rule::RemainingTimesSize, 2 },
-    least_attained = { Rule::LeastAttained, 1 },
+    fifo = { RankingRule::Fifo, 1 },
+    shortest = { RankingRule::ShortestRemaining, 2 },
+    remaining_times_size = { RankingRule::RemainingTimesSize, 2 },
+    least_attained = { RankingRule::LeastAttained, 1 },
 )]
-fn rule_ranks_a_long_old_task_and_a_short_new_one(rule: Rule, first: u64) {
-    let old = Facts { size_ms: 100_000, attained_ms: 0, accepted_ms: 1 };
-    let new = Facts { size_ms: 1_000, attained_ms: 500, accepted_ms: 2 };
+fn rule_ranks_a_long_old_task_and_a_short_new_one(rule: RankingRule, first: u64) {
+    let old = RankingInput { size_ms: 100_000, attained_ms: 0, accepted_ms: 1 };
+    let new = RankingInput { size_ms: 1_000, attained_ms: 500, accepted_ms: 2 };
     let found = if task_queue::rank(rule, old) < task_queue::rank(rule, new) { 1 } else { 2 };
     assert_eq!(found, first);
 }
 
 #[test]
 fn quota_is_given_back_when_its_owner_comes() {
-    let mut queue = Queue::default();
+    let mut queue = TaskQueue::default();
     queue.set_quota("owner", Some(resources(1_000, 1_000)));
     queue.set_quota("borrower", Some(resources(1_000, 1_000)));
     for at in 0..4 {
-        let waiting = task_queue::Waiting {
+        let waiting = task_queue::WaitingTask {
             task: TaskId(at),
             tier: Tier::Batch,
             rank: at,
@@ -435,8 +447,8 @@
     }
     let borrowed: Vec<_> = queue.candidates(9).iter().map(|it| it.borrows).collect();
     assert_eq!(borrowed, [false, false, true, true]);
-    (0..4).for_each(|_| queue.record_run_change("borrower", resources(500, 1), Runs::Starts));
-    let waiting = task_queue::Waiting {
+    (0..4).for_each(|_| queue.record_run_change("borrower", resources(500, 1), RunChange::Starts));
+    let waiting = task_queue::WaitingTask {
         task: TaskId(9),
         tier: Tier::Batch,
         rank: 99,
--- a/tests/soak/workers.rs
+++ b/tests/soak/workers.rs
@@ -13,7 +13,7 @@
 
 use aspenrail::{
     http::{HttpAnswer, HttpRequest, Pending, ServerOptions, client::new_client, start_server},
-    node::{Action, CallResult, Refused, WorkerCall},
+    node::{Action, CallRefusal, CallResult, WorkerCall},
     prelude::*,
 };
 use serde_json::{Value, json};
@@ -265,11 +265,11 @@
         CallResult::Done { clock_ms } => HttpAnswer::json(200, &json!({"clock_ms": clock_ms})),
         CallResult::Refused { clock_ms, cause } => {
             let reason = match cause {
-                Refused::Fenced => "fence",
-                Refused::Superseded => "old",
-                Refused::Late => "late",
-                Refused::Room => "room",
-                Refused::Ticket => "ticket",
+                CallRefusal::Fenced => "fence",
+                CallRefusal::Superseded => "old",
+                CallRefusal::Late => "late",
+                CallRefusal::Room => "room",
+                CallRefusal::Ticket => "ticket",
             };
             HttpAnswer::json(409, &refused(clock_ms, reason))
         }
--- a/tests/suspicion.rs
+++ b/tests/suspicion.rs
@@ -1,15 +1,15 @@
 //! Which tasks are held to crash their workers, by plain figures.
 #![allow(clippy::unwrap_used)]
 
-use aspenrail::policy::crash_evidence::{Background, CrashEvidence};
+use aspenrail::policy::crash_evidence::{BaselineCrashRate, CrashEvidence};
 
 /// Six workers, of which one crashes by itself each second and a half.
-const STORMY: Background = Background { crashes: 13, workers: 6 };
+const STORMY: BaselineCrashRate = BaselineCrashRate { crashes: 13, workers: 6 };
 
 /// Eleven workers that hardly crash.
-const QUIET: Background = Background { crashes: 0, workers: 11 };
+const QUIET: BaselineCrashRate = BaselineCrashRate { crashes: 0, workers: 11 };
 
-fn after(ages_ms: &[u64], background: Background) -> CrashEvidence {
+fn after(ages_ms: &[u64], background: BaselineCrashRate) -> CrashEvidence {
     ages_ms.iter().fold(CrashEvidence::default(), |it, age_ms| it.after_crash(*age_ms, background))
 }
 
@@ -22,7 +22,7 @@
     apart_beside_many = { STORMY, &[2_900, 1_200, 3_600], false },
 )]
 fn a_task_is_held_guilty_by_the_ages_of_its_crashes(
-    background: Background,
+    background: BaselineCrashRate,
     ages_ms: &[u64],
     expected: bool,
 ) {
--- a/tests/workflows/evacuations.rs
+++ b/tests/workflows/evacuations.rs
@@ -1,6 +1,6 @@
 //! Availability zones taken out of use and back, under faults.
 
-use aspenrail::{gateway::Answer, prelude::*};
+use aspenrail::{gateway::GatewayAnswer, prelude::*};
 
 use crate::{
     faults::disturb,
@@ -33,7 +33,7 @@
     for _ in 0..12 {
         let token = world.request(request(zone, evacuated));
         world.run_for(500);
-        if world.answers.get(&token) == Some(&Answer::Told(WorkflowOutcome::Accepted)) {
+        if world.answers.get(&token) == Some(&GatewayAnswer::Told(WorkflowOutcome::Accepted)) {
             return true;
         }
     }
@@ -44,7 +44,9 @@
     for _ in 0..20 {
         let token = world.request(WorkflowRequest::ReadEvacuations);
         world.run_for(500);
-        if let Some(Answer::Told(WorkflowOutcome::Evacuations(it))) = world.answers.get(&token) {
+        if let Some(GatewayAnswer::Told(WorkflowOutcome::Evacuations(it))) =
+            world.answers.get(&token)
+        {
             return it.zones.iter().map(|it| it.zone.clone()).collect();
         }
     }
@@ -102,7 +104,7 @@
     }
     world.run_for(25_000);
     for (id, token) in accepted {
-        if world.answers.get(&token) == Some(&Answer::Told(WorkflowOutcome::Accepted))
+        if world.answers.get(&token) == Some(&GatewayAnswer::Told(WorkflowOutcome::Accepted))
             && world.phase(id) != Some(WorkflowPhase::Completed)
         {
             world.rules.broken.push(format!("workflow {id} was accepted and is not done"));
@@ -229,5 +231,5 @@
     let token = world.request(request(name, true));
     world.run_for(500);
     let answer = world.answers.get(&token);
-    assert!(matches!(answer, Some(Answer::Told(WorkflowOutcome::Invalid(_)))), "{answer:?}");
+    assert!(matches!(answer, Some(GatewayAnswer::Told(WorkflowOutcome::Invalid(_)))), "{answer:?}");
 }
--- a/tests/workflows/gateway.rs
+++ b/tests/workflows/gateway.rs
@@ -1,7 +1,7 @@
 //! What a gateway tells its clients.
 
 use aspenrail::{
-    gateway::{Answer, Cause},
+    gateway::{GatewayAnswer, RejectionCause},
     prelude::*,
 };
 
@@ -18,7 +18,7 @@
     world.run_for(3_000);
     let token = world.submit(7, spec(vec![step(1, 1, &[])]), QUICK);
     world.run_for(500);
-    let expected = Answer::NotTaken { cause: Cause::NoConfig, retry_after_ms: 300 };
+    let expected = GatewayAnswer::NotTaken { cause: RejectionCause::NoConfig, retry_after_ms: 300 };
     assert_eq!(world.answers.get(&token), Some(&expected));
 }
 
@@ -32,7 +32,10 @@
     let token = world.submit(7, spec(vec![step(1, 1, &[])]), QUICK);
     world.run_for(950);
     let answer = world.answers.get(&token);
-    assert!(matches!(answer, Some(Answer::NotTaken { cause: Cause::NoLeader, .. })), "{answer:?}");
+    assert!(
+        matches!(answer, Some(GatewayAnswer::NotTaken { cause: RejectionCause::NoLeader, .. })),
+        "{answer:?}"
+    );
     world.run_for(10_000);
     assert_eq!(world.phase(7), None, "it was told not to be taken");
     assert!(!world.rules.has_begun(7));
@@ -46,7 +49,7 @@
     let token = world.submit(7, spec(vec![step(1, 1, &[])]), QUICK);
     (0..3).for_each(|at| world.kill_member(at, 5_000, false));
     world.run_for(2_000);
-    assert_eq!(world.answers.get(&token), Some(&Answer::Unknown));
+    assert_eq!(world.answers.get(&token), Some(&GatewayAnswer::Unknown));
 }
 
 #[test]
@@ -56,7 +59,7 @@
     for _ in 0..3 {
         let token = world.submit(7, spec(vec![step(3, 1, &[])]), QUICK);
         world.run_for(400);
-        let expected = Answer::Told(WorkflowOutcome::Accepted);
+        let expected = GatewayAnswer::Told(WorkflowOutcome::Accepted);
         assert_eq!(world.answers.get(&token), Some(&expected));
     }
     assert_eq!(world.rules.starts, 3);
@@ -69,12 +72,15 @@
     for version in [5, 3, 5] {
         let token = world.request(WorkflowRequest::Install(queues(version)));
         world.run_for(300);
-        let expected = Answer::Told(WorkflowOutcome::Accepted);
+        let expected = GatewayAnswer::Told(WorkflowOutcome::Accepted);
         assert_eq!(world.answers.get(&token), Some(&expected));
     }
     let token = world.request(WorkflowRequest::ReadConfig);
     world.run_for(300);
-    assert_eq!(world.answers.get(&token), Some(&Answer::Told(WorkflowOutcome::Config(queues(5)))));
+    assert_eq!(
+        world.answers.get(&token),
+        Some(&GatewayAnswer::Told(WorkflowOutcome::Config(queues(5))))
+    );
 }
 
 #[yare::parameterized(
@@ -90,14 +96,14 @@
     let token = world.request(WorkflowRequest::Install(config));
     world.run_for(300);
     match world.answers.get(&token) {
-        Some(Answer::Told(WorkflowOutcome::Invalid(why))) => {
+        Some(GatewayAnswer::Told(WorkflowOutcome::Invalid(why))) => {
             assert!(why.contains(expected), "{why}")
         }
         other => panic!("{other:?}"),
     }
     let token = world.request(WorkflowRequest::ReadConfig);
     world.run_for(300);
-    let held = Answer::Told(WorkflowOutcome::Config(queues(1)));
+    let held = GatewayAnswer::Told(WorkflowOutcome::Config(queues(1)));
     assert_eq!(world.answers.get(&token), Some(&held));
 }
 
@@ -113,7 +119,7 @@
     let place = WorkflowTarget { host: host.into(), path: path.into() };
     let token = world.request(WorkflowRequest::Inspect(place));
     world.run_for(300);
-    assert_eq!(world.answers.get(&token), Some(&Answer::Told(expected)));
+    assert_eq!(world.answers.get(&token), Some(&GatewayAnswer::Told(expected)));
 }
 
 #[test]
--- a/tests/workflows/lifetimes.rs
+++ b/tests/workflows/lifetimes.rs
@@ -4,7 +4,7 @@
 //! read across two: announcements, ends, the clock, tokens, answers to calls.
 
 use aspenrail::{
-    node::{Action, CallResult, Departure, Input, Refused},
+    node::{Action, CallRefusal, CallResult, Departure, Input},
     prelude::*,
 };
 
@@ -81,7 +81,7 @@
 fn a_node_that_has_just_started_takes_no_late_announcement_for_the_worker() {
     let mut alone = Alone::without_worker();
     alone.input(announced(SECOND_MS, 3));
-    answer(&mut alone, CallResult::Refused { clock_ms: 90, cause: Refused::Fenced });
+    answer(&mut alone, CallResult::Refused { clock_ms: 90, cause: CallRefusal::Fenced });
     alone.pass(50);
     assert_eq!(alone.worker(), None);
     alone.grant_nothing(1 << 24);
@@ -99,7 +99,7 @@
     unanswered = { None },
     answered_and_in_no_list = { Some(CallResult::Done { clock_ms: 80 }) },
     called_for_in_vain = { Some(CallResult::NoAnswer) },
-    refused_for_room = { Some(CallResult::Refused { clock_ms: 80, cause: Refused::Room }) },
+    refused_for_room = { Some(CallResult::Refused { clock_ms: 80, cause: CallRefusal::Room }) },
 )]
 fn starts_for_the_first_lifetime_are_barred_at_the_second(first: Option<CallResult>) {
     let mut alone = beside_first();
@@ -148,7 +148,7 @@
 /// began elsewhere while they ran.
 #[yare::parameterized(
     done = { CallResult::Done { clock_ms: 9_000_000 } },
-    refused = { CallResult::Refused { clock_ms: 9_000_000, cause: Refused::Superseded } },
+    refused = { CallResult::Refused { clock_ms: 9_000_000, cause: CallRefusal::Superseded } },
     a_list = { listed(Some(FIRST_MS), vec![running()]) },
 )]
 fn an_answer_to_a_call_of_the_lifetime_before_changes_nothing(late: CallResult) {
--- a/tests/workflows/node.rs
+++ b/tests/workflows/node.rs
@@ -2,8 +2,8 @@
 
 use aspenrail::{
     node::{
-        Action, Announcement, AnnouncementRejection, CallResult, Effect, Input, NodeCore,
-        NodeOptions, Refused,
+        Action, Announcement, AnnouncementRejection, CallRefusal, CallResult, Effect, Input,
+        NodeCore, NodeOptions,
     },
     prelude::*,
 };
@@ -258,7 +258,7 @@
     alone.list(Vec::new());
     alone.grant(true, vec![start()]);
     let id = alone.take_call(is_start);
-    alone.end(id, CallResult::Refused { clock_ms: 50_200, cause: Refused::Room });
+    alone.end(id, CallResult::Refused { clock_ms: 50_200, cause: CallRefusal::Room });
     assert_eq!(alone.refused(), [], "an earlier call might still begin it");
     assert!(alone.calls.iter().any(|(_, it)| is_stop(it)));
 }
--- a/tests/workflows/worker.rs
+++ b/tests/workflows/worker.rs
@@ -4,7 +4,7 @@
 
 use aspenrail::{
     control::state::{NO_RESOURCES, add, fits},
-    node::{Action, Announcement, CallResult, Refused, WorkerCall},
+    node::{Action, Announcement, CallRefusal, CallResult, WorkerCall},
     prelude::*,
 };
 
@@ -262,7 +262,7 @@
             return CallResult::OtherLifetime;
         }
         if call.token < self.token {
-            return CallResult::Refused { clock_ms, cause: Refused::Fenced };
+            return CallResult::Refused { clock_ms, cause: CallRefusal::Fenced };
         }
         self.token = call.token;
         match &call.action {
@@ -316,15 +316,15 @@
             return CallResult::Done { clock_ms };
         }
         if run.run <= self.highest.get(&run.task).copied().unwrap_or(0) {
-            return CallResult::Refused { clock_ms, cause: Refused::Superseded };
+            return CallResult::Refused { clock_ms, cause: CallRefusal::Superseded };
         }
         if lease_until_ms < clock_ms {
-            return CallResult::Refused { clock_ms, cause: Refused::Late };
+            return CallResult::Refused { clock_ms, cause: CallRefusal::Late };
         }
         self.lease_until_ms = self.lease_until_ms.max(lease_until_ms);
         let used = self.used_with(run, rules);
         if self.guards && !fits(used, self.capacity()) {
-            return CallResult::Refused { clock_ms, cause: Refused::Room };
+            return CallResult::Refused { clock_ms, cause: CallRefusal::Room };
         }
         if !self.is_late && !fits(used, self.allowed(now_ms)) {
             let allowed = self.allowed(now_ms);
--- a/tests/workflows/world.rs
+++ b/tests/workflows/world.rs
@@ -11,7 +11,7 @@
         dispatch::{DispatchOptions, PlanOptions},
         log::RecoveredState,
     },
-    gateway::{self, Answer, GatewayCore, GatewayOptions},
+    gateway::{self, GatewayAnswer, GatewayCore, GatewayOptions},
     node::{self, CallResult, NodeCore, NodeOptions, WorkerCall},
     prelude::*,
     schema::settings::ControlSettings,
@@ -109,7 +109,7 @@
     pub gateway: GatewayCore,
     pub rules: Ledger,
     pub nature: BTreeMap<u64, Nature>,
-    pub answers: BTreeMap<u64, Answer>,
+    pub answers: BTreeMap<u64, GatewayAnswer>,
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
     next_token: u64,
@@ -528,7 +528,7 @@
         for _ in 0..20 {
             let token = self.request(WorkflowRequest::Install(queues(1)));
             self.run_for(1_500);
-            if self.answers.get(&token) == Some(&Answer::Told(WorkflowOutcome::Accepted)) {
+            if self.answers.get(&token) == Some(&GatewayAnswer::Told(WorkflowOutcome::Accepted)) {
                 return;
             }
         }
@@ -541,11 +541,11 @@
             let token = self.request(WorkflowRequest::Inspect(target(id)));
             self.run_for(1_000);
             match self.answers.remove(&token) {
-                Some(Answer::Told(WorkflowOutcome::Phase(it))) => {
+                Some(GatewayAnswer::Told(WorkflowOutcome::Phase(it))) => {
                     self.rules.told(id, it);
                     return Some(it);
                 }
-                Some(Answer::Told(WorkflowOutcome::Gone)) => return None,
+                Some(GatewayAnswer::Told(WorkflowOutcome::Gone)) => return None,
                 _ => (),
             }
         }
