--- a/src/agent/core/lease.rs
+++ b/src/agent/core/lease.rs
@@ -38,7 +38,7 @@
                     session: it.session,
                     until_ms: 0,
                     reconciled: false,
-                    answered: 0,
+                    answered_heartbeat: 0,
                 });
                 self.heartbeat_at_ms = now.mono_ms;
             }
@@ -55,7 +55,7 @@
         let interval_ms = u64::from(self.options.settings.heartbeat_ms);
         self.heartbeat_at_ms = now.mono_ms + interval_ms;
         let Some(lease) = self.lease else { return };
-        if lease.answered + SILENT_HEARTBEATS < self.heartbeat_number {
+        if lease.answered_heartbeat + SILENT_HEARTBEATS < self.heartbeat_number {
             self.client.try_next();
         }
         let Some(to) = self.client.target() else { return };
@@ -73,7 +73,7 @@
             number: self.heartbeat_number,
             sent_ms: now.mono_ms,
             reply_to: self.options.address,
-            in_force: self.adopted.revision(),
+            in_force: self.configuration.revision(),
             reconciled: lease.reconciled,
             draining,
             endpoints: endpoints.collect(),
@@ -91,7 +91,7 @@
         let Some(lease) = self.lease.as_mut().filter(|lease| lease.session == it.session) else {
             return;
         };
-        lease.answered = lease.answered.max(it.number);
+        lease.answered_heartbeat = lease.answered_heartbeat.max(it.number);
         if it.verdict == SessionVerdict::Ended {
             tracing::warn!(event = "session_ended", session = it.session.0);
             self.stop_tasks();
@@ -99,7 +99,7 @@
             return;
         }
         if let Some(news) = it.configuration.clone() {
-            self.adopted.adopt(news);
+            self.configuration.adopt(news);
         }
         // Counted from when the renewal was asked for: control counts from later.
         let until_ms = (it.sent_ms + u64::from(it.lease_ms)).max(lease.until_ms);
@@ -113,7 +113,7 @@
 
     pub(super) fn on_orders(&mut self, now: Now, it: AgentHeartbeatReply) {
         let Some(lease) = self.lease else { return };
-        let overtaken = it.number < lease.answered;
+        let overtaken = it.number < lease.answered_heartbeat;
         if lease.session != it.session || overtaken || lease.until_ms <= now.mono_ms {
             self.metrics.orders_ignored.inc_by(it.orders.len() as u64);
             return;
@@ -134,7 +134,7 @@
                     false => Err(StartRejection::OlderRuns),
                 };
                 if let Err(why) = started {
-                    if why != StartRejection::Known {
+                    if why != StartRejection::AlreadyKnown {
                         self.metrics.orders_ignored.inc();
                         tracing::warn!(event = "start_not_followed", task = task.0, incarnation, why = ?why);
                     }
--- a/src/agent/core/mod.rs
+++ b/src/agent/core/mod.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub struct AgentOptions {
     pub address: SocketAddr,
-    pub controls: Vec<SocketAddr>,
+    pub control_addresses: Vec<SocketAddr>,
     pub zone: CompactString,
     pub rack: CompactString,
     pub settings: AgentSettings,
@@ -92,7 +92,7 @@
     /// Whether the worker knows of the session and has reported since.
     reconciled: bool,
     /// Number of the newest heartbeat answered.
-    answered: u64,
+    answered_heartbeat: u64,
 }
 
 /// One running request.
@@ -110,7 +110,7 @@
     options: AgentOptions,
     metrics: Arc<Metrics>,
     client: ControlClient<()>,
-    adopted: AdoptedConfiguration,
+    configuration: AdoptedConfiguration,
     lease: Option<Lease>,
     /// Sessions of this process: its endpoints were known under each of them.
     own_sessions: BTreeSet<SessionId>,
@@ -126,7 +126,7 @@
     endpoints: Endpoints,
     executions: BTreeMap<ExecutionId, Execution>,
     next_execution: u64,
-    seen: SeenAttempts,
+    seen_attempts: SeenAttempts,
     /// Entries that sent requests, with the time of the last.
     entries: BTreeMap<SocketAddr, u64>,
     draining: bool,
@@ -138,11 +138,15 @@
     pub fn new(options: AgentOptions, metrics: Arc<Metrics>) -> AgentCore {
         let settings = &options.settings;
         AgentCore {
-            client: ControlClient::new(options.address, options.controls.clone(), options.boot),
-            seen: SeenAttempts::new(settings.seen_max as usize, settings.seen_ms.into()),
+            client: ControlClient::new(
+                options.address,
+                options.control_addresses.clone(),
+                options.boot,
+            ),
+            seen_attempts: SeenAttempts::new(settings.seen_max as usize, settings.seen_ms.into()),
             options,
             metrics,
-            adopted: AdoptedConfiguration::new(),
+            configuration: AdoptedConfiguration::new(),
             lease: None,
             own_sessions: BTreeSet::new(),
             opening: false,
@@ -164,7 +168,7 @@
 
     /// Returns the configuration revision in force here.
     pub fn in_force(&self) -> Revision {
-        self.adopted.revision()
+        self.configuration.revision()
     }
 
     /// Returns whether a planned stop has nothing left to wait for.
@@ -202,8 +206,10 @@
         self.handle_lease_end(now);
         match input {
             Input::Message { from, in_force, message } => {
-                if let Some(question) = self.adopted.question(now, in_force, self.options.address) {
-                    self.send(from, question);
+                if let Some(config_fetch) =
+                    self.configuration.config_fetch(now, in_force, self.options.address)
+                {
+                    self.send(from, config_fetch);
                 }
                 self.on_message(now, message);
             }
@@ -254,7 +260,7 @@
                 }));
             }
         }
-        self.seen.expire(now);
+        self.seen_attempts.expire(now);
         self.drop_late(now);
         let silence_ms = u64::from(self.options.settings.announce_max_ms);
         let silent = self
@@ -296,9 +302,9 @@
             }
             Message::Execute(it) => self.on_execute(now, it),
             Message::OutcomeQuery(it) => self.on_outcome_query(now, &it),
-            Message::ConfigUpdate(it) => self.adopted.adopt_from_peer(it),
+            Message::ConfigUpdate(it) => self.configuration.adopt_from_peer(it),
             Message::ConfigFetch(it) => {
-                let update = Message::ConfigUpdate(self.adopted.current().clone());
+                let update = Message::ConfigUpdate(self.configuration.current().clone());
                 self.send(it.reply_to, update);
             }
             _ => (),
--- a/src/agent/core/requests.rs
+++ b/src/agent/core/requests.rs
@@ -19,7 +19,7 @@
     pub(super) fn on_execute(&mut self, now: Now, it: Execute) {
         self.entries.insert(it.reply_to, now.mono_ms);
         let attempt = (it.request, it.attempt);
-        match self.seen.get(attempt) {
+        match self.seen_attempts.get(attempt) {
             // Sent twice by the link or by a resend: the first one's outcome is the outcome.
             Some(AttemptOutcome::Running) => return,
             Some(AttemptOutcome::Ended(outcome)) => {
@@ -31,7 +31,7 @@
         if let Err(kind) = self.check_execute(&it) {
             return self.refuse(now, &it, kind);
         }
-        self.seen.begin(attempt);
+        self.seen_attempts.begin(attempt);
         let deadline_ms = now.mono_ms + u64::from(it.deadline_ms);
         let number = it.endpoint.number;
         let executions = self.executions.len();
@@ -46,7 +46,7 @@
     pub(super) fn check_execute(&mut self, it: &Execute) -> Result<(), ErrorKind> {
         let queue_max = self.options.settings.queue_max as usize;
         let is_ours = self.own_sessions.contains(&it.endpoint.session);
-        let has_room = self.seen.has_room();
+        let has_room = self.seen_attempts.has_capacity();
         let threads = self.options.settings.threads as usize;
         let busy = threads <= self.executions.len();
         match self.endpoints.get_mut(it.endpoint.number) {
@@ -120,13 +120,13 @@
 
     /// Refuses a request that was not handed to its endpoint, and never will be.
     pub(super) fn refuse(&mut self, now: Now, it: &Execute, kind: ErrorKind) {
-        self.metrics.refused(kind);
+        self.metrics.count_refusal(kind);
         let attempt = (it.request, it.attempt);
         let outcome = ExecuteOutcome::Refused(kind);
         // A second copy of the message must not run what this answer says did not.
-        match self.seen.has_room() || self.seen.get(attempt).is_some() {
-            true if it.idempotent => self.seen.end_briefly(attempt, outcome.clone(), now),
-            true => self.seen.end(attempt, outcome.clone(), now),
+        match self.seen_attempts.has_capacity() || self.seen_attempts.get(attempt).is_some() {
+            true if it.idempotent => self.seen_attempts.end_briefly(attempt, outcome.clone(), now),
+            true => self.seen_attempts.end(attempt, outcome.clone(), now),
             false => (),
         }
         self.reply(it.reply_to, attempt, it.endpoint, outcome);
@@ -168,15 +168,15 @@
             ExecutorResult::Failed(why) => ExecuteOutcome::Failed(why),
         };
         if let ExecuteOutcome::Refused(kind) = outcome {
-            self.metrics.refused(kind);
+            self.metrics.count_refusal(kind);
         }
         if it.idempotent {
             // Not the answer, which would take memory for every request, but that there was one: a
             // second copy of the message, refused by now, would say that it did not run.
             let answered = ExecuteOutcome::Failed("it was answered before".into());
-            self.seen.end_briefly(it.attempt, answered, now);
+            self.seen_attempts.end_briefly(it.attempt, answered, now);
         } else {
-            self.seen.end(it.attempt, kept(&outcome), now);
+            self.seen_attempts.end(it.attempt, kept(&outcome), now);
         }
         self.reply(it.reply_to, it.attempt, it.endpoint, outcome);
         // A freed thread may serve any endpoint; the one that freed it goes first.
@@ -191,15 +191,15 @@
     pub(super) fn on_outcome_query(&mut self, now: Now, it: &OutcomeQuery) {
         let attempt = (it.request, it.attempt);
         let is_ours = self.own_sessions.contains(&it.endpoint.session);
-        let outcome = match self.seen.get(attempt) {
+        let outcome = match self.seen_attempts.get(attempt) {
             Some(AttemptOutcome::Running) => ExecuteOutcome::Running,
             Some(AttemptOutcome::Ended(outcome)) => outcome.clone(),
             // An earlier run of this agent may have run it; nobody can know.
             None if !is_ours => ExecuteOutcome::Failed("the agent restarted meanwhile".into()),
-            None if !self.seen.has_room() => ExecuteOutcome::Running,
+            None if !self.seen_attempts.has_capacity() => ExecuteOutcome::Running,
             None => {
                 // From now on it never runs here, even if the message is still on its way.
-                self.seen.end(attempt, ExecuteOutcome::NotSeen, now);
+                self.seen_attempts.end(attempt, ExecuteOutcome::NotSeen, now);
                 ExecuteOutcome::NotSeen
             }
         };
--- a/src/agent/seen_attempts.rs
+++ b/src/agent/seen_attempts.rs
@@ -21,7 +21,7 @@
 /// The window of attempts seen, bounded in number and in time.
 #[derive(Clone, Debug)]
 pub(super) struct SeenAttempts {
-    fates: HashMap<AttemptId, AttemptOutcome>,
+    outcomes: HashMap<AttemptId, AttemptOutcome>,
     /// Attempts that ended, by when they are forgotten.
     ended: BTreeSet<(u64, AttemptId)>,
     len_max: usize,
@@ -30,20 +30,20 @@
 
 impl SeenAttempts {
     pub(super) fn new(len_max: usize, keep_ms: u64) -> SeenAttempts {
-        SeenAttempts { fates: HashMap::new(), ended: BTreeSet::new(), len_max, keep_ms }
+        SeenAttempts { outcomes: HashMap::new(), ended: BTreeSet::new(), len_max, keep_ms }
     }
 
     pub(super) fn get(&self, id: AttemptId) -> Option<&AttemptOutcome> {
-        self.fates.get(&id)
+        self.outcomes.get(&id)
     }
 
     /// Returns whether another attempt fits; forgetting one early could let it run again.
-    pub(super) fn has_room(&self) -> bool {
-        self.fates.len() < self.len_max
+    pub(super) fn has_capacity(&self) -> bool {
+        self.outcomes.len() < self.len_max
     }
 
     pub(super) fn begin(&mut self, id: AttemptId) {
-        self.fates.insert(id, AttemptOutcome::Running);
+        self.outcomes.insert(id, AttemptOutcome::Running);
     }
 
     /// Keeps how an attempt ended.
@@ -58,7 +58,7 @@
     }
 
     fn keep(&mut self, id: AttemptId, outcome: ExecuteOutcome, until_ms: u64) {
-        self.fates.insert(id, AttemptOutcome::Ended(outcome));
+        self.outcomes.insert(id, AttemptOutcome::Ended(outcome));
         self.ended.insert((until_ms, id));
     }
 
@@ -68,7 +68,7 @@
             && until_ms <= now.mono_ms
         {
             self.ended.pop_first();
-            self.fates.remove(&id);
+            self.outcomes.remove(&id);
         }
     }
 }
--- a/src/agent/tasks.rs
+++ b/src/agent/tasks.rs
@@ -107,7 +107,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StartRejection {
     /// This incarnation, or a newer one, is known already.
-    Known,
+    AlreadyKnown,
     /// An older incarnation still runs here; it goes first.
     OlderRuns,
     /// The VM cannot hold it.
@@ -174,7 +174,7 @@
         let known = known.max(self.failed.get(&task).map(|it| it.0));
         let known = known.max(self.started.get(&task).copied());
         if known.is_some_and(|it| incarnation <= it) {
-            return Err(StartRejection::Known);
+            return Err(StartRejection::AlreadyKnown);
         }
         if reported.is_some_and(|it| !has_ended(it.phase)) || self.pending.contains_key(&task) {
             return Err(StartRejection::OlderRuns);
--- a/src/bench/batch.rs
+++ b/src/bench/batch.rs
@@ -143,7 +143,10 @@
             }),
         ),
         ("ours, no preemption", Variant::Ours(SchedulerOptions { preempts: false, ..ours })),
-        ("ours, no reserve", Variant::Ours(SchedulerOptions { reserves: false, ..ours })),
+        (
+            "ours, no reserve",
+            Variant::Ours(SchedulerOptions { keeps_urgent_reserve: false, ..ours }),
+        ),
         (
             "ours, no quarantine",
             Variant::Ours(SchedulerOptions { vm_failures_max: u32::MAX, ..ours }),
@@ -311,7 +314,7 @@
         let index = self.state.index() + 1;
         let outcome = self.state.apply(index, WALL_MS + self.now_ms, command, &mut changes);
         if self.variant != Variant::Naive {
-            changes.iter().for_each(|it| self.scheduler.note(&self.state, *it));
+            changes.iter().for_each(|it| self.scheduler.note_change(&self.state, *it));
         }
         for it in changes {
             if let Change::Task(id) = it {
@@ -605,7 +608,7 @@
         let plan = self.scheduler.plan(&self.state, self.now());
         let starts = plan.starts.into_iter().map(Command::Start);
         let events = plan.events.into_iter().map(Command::TaskEvent);
-        let flags = plan.flags.into_iter().map(Command::VmFlags);
+        let flags = plan.vm_flags.into_iter().map(Command::VmFlags);
         for it in starts.chain(events).chain(flags) {
             let _ = self.apply(&it);
         }
--- a/src/bench/capacity.rs
+++ b/src/bench/capacity.rs
@@ -152,14 +152,14 @@
         ..RecoveredState::default()
     };
     let options = ControlOptions {
-        place: GROUP_ID,
+        group_id: GROUP_ID,
         member: MemberId(1),
         address,
-        controls: vec![address],
+        control_addresses: vec![address],
         settings: settings(address),
         boot: 7,
         dispatch: None,
-        voters: 0,
+        target_voter_count: 0,
     };
     let mut core =
         ControlCore::new(options, recovered, now(0)).expect("an empty disk holds no snapshot");
@@ -313,7 +313,7 @@
 }
 
 fn note_all(state: &State, scheduler: &mut Scheduler, changes: &[Change]) {
-    changes.iter().for_each(|it| scheduler.note(state, *it));
+    changes.iter().for_each(|it| scheduler.note_change(state, *it));
 }
 
 /// Chooses a VM by looking at every one, the way that needs no index.
@@ -324,7 +324,7 @@
     let mut found = 0;
     for _ in 0..rounds {
         let fitting = state.vms.iter().filter(|it| it.has_capacity_for(need));
-        found += usize::from(fitting.min_by_key(|it| it.free().cpu_millicores).is_some());
+        found += usize::from(fitting.min_by_key(|it| it.free_capacity().cpu_millicores).is_some());
     }
     std::hint::black_box(found);
     micros(begun.elapsed()) / f64::from(rounds)
--- a/src/bench/commits.rs
+++ b/src/bench/commits.rs
@@ -60,8 +60,8 @@
 }
 
 fn create(folder: &Path) -> Result<Disk> {
-    let place = Place { region: 1, group: 1 };
-    let identity = Identity { member: MemberId(1), place, founders: Vec::new() };
+    let group_id = Place { region: 1, group: 1 };
+    let identity = Identity { member: MemberId(1), group_id, founders: Vec::new() };
     identity.create(folder)?;
     Ok(Disk::open(folder, &identity, 0)?.0)
 }
--- a/src/bench/dispatch.rs
+++ b/src/bench/dispatch.rs
@@ -44,12 +44,12 @@
     pub report_us: (f64, f64),
     /// Time of a turn that makes a plan while everything waits.
     pub plan_us: (f64, f64),
-    pub looks: Looks,
+    pub rows_visited: RowsVisited,
 }
 
 /// Sessions and rooms that the leader looks at in walks over all of them, in the mean.
 #[derive(Clone, Copy, Debug)]
-pub struct Looks {
+pub struct RowsVisited {
     /// For each worker that enrols, one by one, plans aside.
     pub per_enrolment: f64,
     /// For each plan while nothing waits and nothing is slow.
@@ -74,9 +74,9 @@
                 it.report_us.1,
                 it.plan_us.0,
                 it.plan_us.1,
-                it.looks.per_enrolment,
-                it.looks.per_idle_plan,
-                it.looks.per_plan
+                it.rows_visited.per_enrolment,
+                it.rows_visited.per_idle_plan,
+                it.rows_visited.per_plan
             );
         }
     }
@@ -85,8 +85,8 @@
 /// Measures one case.
 pub fn measure(workers: u64, waiting: u32) -> Case {
     let mut leader = Leader::new(workers);
-    let per_enrolment = leader.enrolment_looks as f64 / workers as f64;
-    let per_idle_plan = leader.looks_per_plan(1, LOW_TAIL_MS);
+    let per_enrolment = leader.enrolment_rows_visited as f64 / workers as f64;
+    let per_idle_plan = leader.rows_visited_per_plan(1, LOW_TAIL_MS);
     // Services first, then fillers, while tails are low enough for these.
     for id in 0..SERVICES {
         let count = (workers as u32 * SERVING_PER_WORKER).div_ceil(SERVICES as u32);
@@ -106,11 +106,11 @@
     leader.report_all(HIGH_TAIL_MS);
     leader.reports = Vec::new();
     leader.plans = Vec::new();
-    let per_plan = leader.looks_per_plan(ROUNDS, HIGH_TAIL_MS);
-    let looks = Looks { per_enrolment, per_idle_plan, per_plan };
+    let per_plan = leader.rows_visited_per_plan(ROUNDS, HIGH_TAIL_MS);
+    let rows_visited = RowsVisited { per_enrolment, per_idle_plan, per_plan };
     let report_us = percentiles_us(&mut leader.reports);
     let plan_us = percentiles_us(&mut leader.plans);
-    Case { workers, waiting, report_us, plan_us, looks }
+    Case { workers, waiting, report_us, plan_us, rows_visited }
 }
 
 /// Tails of services with room for fillers, and without.
@@ -126,7 +126,7 @@
     workers: u64,
     reports: Vec<Duration>,
     plans: Vec<Duration>,
-    enrolment_looks: u64,
+    enrolment_rows_visited: u64,
 }
 
 impl Leader {
@@ -152,7 +152,7 @@
             workers,
             reports,
             plans,
-            enrolment_looks: 0,
+            enrolment_rows_visited: 0,
         };
         res.report_all(0);
         res.report_all(0);
@@ -185,19 +185,19 @@
 
     fn apply(&mut self, command: WorkflowCommand) {
         self.workflows.apply(&command, self.now_ms);
-        let before = self.dispatcher.looks();
+        let before = self.dispatcher.rows_visited();
         self.dispatcher.note_applied(&self.workflows, &command, &[], self.now());
         if let WorkflowCommand::Enrol(_) = command {
-            self.enrolment_looks += self.dispatcher.looks() - before;
+            self.enrolment_rows_visited += self.dispatcher.rows_visited() - before;
         }
     }
 
     /// Lets every worker report some times; returns how many sessions and rooms a plan looked at.
-    fn looks_per_plan(&mut self, rounds: u32, tail_ms: u32) -> f64 {
-        let (looks, plans) = (self.dispatcher.looks(), self.dispatcher.plans());
+    fn rows_visited_per_plan(&mut self, rounds: u32, tail_ms: u32) -> f64 {
+        let (rows_visited, plans) = (self.dispatcher.rows_visited(), self.dispatcher.plan_count());
         (0..rounds).for_each(|_| self.report_all(tail_ms));
-        let plans = (self.dispatcher.plans() - plans).max(1);
-        (self.dispatcher.looks() - looks) as f64 / plans as f64
+        let plans = (self.dispatcher.plan_count() - plans).max(1);
+        (self.dispatcher.rows_visited() - rows_visited) as f64 / plans as f64
     }
 
     /// Lets every worker report once, spread over the interval of reports.
@@ -267,13 +267,13 @@
     /// Ends a turn; what it wants in the ledger is there at once.
     fn turn(&mut self) {
         loop {
-            let plans = self.dispatcher.plans();
+            let plans = self.dispatcher.plan_count();
             let began = Instant::now();
-            let step = self.dispatcher.finish_turn(&self.workflows, &[], self.now());
-            if plans < self.dispatcher.plans() {
+            let output = self.dispatcher.finish_turn(&self.workflows, &[], self.now());
+            if plans < self.dispatcher.plan_count() {
                 self.plans.push(began.elapsed());
             }
-            for (_, message) in &step.messages {
+            for (_, message) in &output.messages {
                 let began = Instant::now();
                 // Encoded as for the link; only the time counts here.
                 let _ = encode_frame(message, FRAME_MAX_BYTES);
@@ -281,10 +281,10 @@
                     *it += began.elapsed();
                 }
             }
-            if step.commands.is_empty() {
+            if output.commands.is_empty() {
                 return;
             }
-            step.commands.into_iter().for_each(|it| self.apply(it));
+            output.commands.into_iter().for_each(|it| self.apply(it));
         }
     }
 }
--- a/src/cli/roles.rs
+++ b/src/cli/roles.rs
@@ -82,12 +82,12 @@
     create(&folder)
         .map_err(|it| Failure::Usage(format!("cannot make {}: {it}", folder.display())))?;
     let settings = load_settings(&path).map_err(Failure::Settings)?;
-    let place =
+    let group_id =
         Place { region: settings.process.region as u8, group: settings.process.group as u8 };
     let identity = match (joins, member) {
         (true, None) if founders.is_empty() => Identity {
             member: MemberId(fastrand::u64(1 << 20..1 << 53)),
-            place,
+            group_id,
             founders: Vec::new(),
         },
         (false, Some(member)) if 0 < member => {
@@ -99,7 +99,7 @@
                     format!("--founders does not list member {member} at {}", settings.link.listen);
                 return Err(Failure::Usage(message));
             }
-            Identity { member: MemberId(member), place, founders }
+            Identity { member: MemberId(member), group_id, founders }
         }
         _ => {
             return Err(Failure::Usage(
--- a/src/config/adopted_configuration.rs
+++ b/src/config/adopted_configuration.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns the question to ask a peer whose revision is `theirs`, if it is ahead.
-    pub fn question(
+    pub fn config_fetch(
         &mut self,
         now: Now,
         theirs: Revision,
--- a/src/control/core/event_logging.rs
+++ b/src/control/core/event_logging.rs
@@ -8,7 +8,7 @@
 /// Returns for each end of a change whether the ledger still holds its run on that worker.
 pub(super) fn expected(state: &State, command: &WorkflowCommand) -> Vec<bool> {
     let WorkflowCommand::Finish(it) = command else { return Vec::new() };
-    it.ends.iter().map(|end| state.workflows.holds(it.worker, end.run)).collect()
+    it.ends.iter().map(|end| state.workflows.has_run(it.worker, end.run)).collect()
 }
 
 /// Writes the lines of a change: one for what a client or operator asked for, one for each run.
@@ -87,9 +87,9 @@
     let suspects = state.workflows.suspects();
     let mut held: Vec<_> =
         it.ends.iter().filter_map(|end| Some((suspects.get(end.run.task)?, end))).collect();
-    held.sort_by(|a, b| b.0.odds.total_cmp(&a.0.odds));
-    for (suspicion, end) in held.into_iter().take(SUSPECTS_NAMED_MAX) {
-        tracing::info!(event = "task_suspected", run = %run_name(end.run), losses = suspicion.losses, odds = suspicion.odds as u64, outcome = ?end.outcome, index, term);
+    held.sort_by(|a, b| b.0.likelihood_ratio.total_cmp(&a.0.likelihood_ratio));
+    for (evidence, end) in held.into_iter().take(SUSPECTS_NAMED_MAX) {
+        tracing::info!(event = "task_suspected", run = %run_name(end.run), losses = evidence.crashes_in_row, odds = evidence.likelihood_ratio as u64, outcome = ?end.outcome, index, term);
     }
     let is_lost = |end: &&RunEnd| {
         let outcomes = [RunOutcome::Crashed, RunOutcome::CrashedUnseen, RunOutcome::Lapsed];
--- a/src/control/core/membership_manager.rs
+++ b/src/control/core/membership_manager.rs
@@ -37,7 +37,11 @@
 
 impl ControlCore {
     pub(super) fn membership_tick_ms(&self) -> u64 {
-        if self.options.voters == 0 { u64::MAX } else { self.membership_manager.tick_at_ms }
+        if self.options.target_voter_count == 0 {
+            u64::MAX
+        } else {
+            self.membership_manager.tick_at_ms
+        }
     }
 
     pub(super) fn on_join(&mut self, now: Now, it: Member) {
@@ -50,7 +54,8 @@
     }
 
     pub(super) fn tick_membership(&mut self, now: Now) {
-        if self.options.voters == 0 || now.mono_ms < self.membership_manager.tick_at_ms {
+        if self.options.target_voter_count == 0 || now.mono_ms < self.membership_manager.tick_at_ms
+        {
             return;
         }
         self.membership_manager.tick_at_ms = now.mono_ms + INTERVAL_MS;
@@ -77,7 +82,7 @@
         let own = Member { id: own, address: self.options.address };
         let known = self.member_addresses();
         let to: std::collections::BTreeSet<SocketAddr> =
-            self.options.controls.iter().chain(&known).copied().collect();
+            self.options.control_addresses.iter().chain(&known).copied().collect();
         for to in to.into_iter().filter(|it| *it != own.address) {
             self.effects.push(Effect::Send { to, message: Message::Join(own.clone()) });
         }
@@ -118,7 +123,7 @@
             return Some((MemberChange::Remove(it.id), "learner_silent"));
         }
         let learner = members.learners.iter().find(|it| self.has_copy(it.id, now))?;
-        if members.voters.len() < self.options.voters {
+        if members.voters.len() < self.options.target_voter_count {
             return Some((MemberChange::Promote(learner.id), "voter_missing"));
         }
         let is_silent = |it: &&Member| VOTER_SILENT_MS < silence_ms(it.id);
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -43,18 +43,18 @@
 /// What one member is told by its settings and identity.
 #[derive(Clone, Debug)]
 pub struct ControlOptions {
-    pub place: Place,
+    pub group_id: Place,
     pub member: MemberId,
     /// Where other processes reach this one.
     pub address: SocketAddr,
-    pub controls: Vec<SocketAddr>,
+    pub control_addresses: Vec<SocketAddr>,
     pub settings: ControlSettings,
     /// Random number of this process.
     pub boot: u64,
     /// How workflows are dispatched, where this group does.
     pub dispatch: Option<DispatchOptions>,
     /// Voters that the group keeps by itself; 0 leaves its membership to operators.
-    pub voters: usize,
+    pub target_voter_count: usize,
 }
 
 /// What a member is told.
@@ -98,11 +98,11 @@
         address: SocketAddr,
         id: u64,
     },
-    Edge {
+    Local {
         token: u64,
     },
     /// The leader's own proposal; nobody waits.
-    Nobody,
+    NoReply,
 }
 
 /// What only a leader keeps.
@@ -113,7 +113,7 @@
     pub scheduler: Scheduler,
     pub dispatcher: Option<Dispatcher>,
     /// Events proposed and not applied, so that each is proposed once.
-    proposed: HashSet<(TaskId, u32, std::mem::Discriminant<TaskEvent>)>,
+    proposed_events: HashSet<(TaskId, u32, std::mem::Discriminant<TaskEvent>)>,
     expire_at_ms: u64,
     tick_at_ms: u64,
 }
@@ -123,8 +123,8 @@
     pub(super) options: ControlOptions,
     pub(super) raft: Raft,
     pub(super) state: State,
-    pub(super) leading: Option<LeaderState>,
-    waiting: BTreeMap<u64, (u64, ReplyTo)>,
+    pub(super) leader_state: Option<LeaderState>,
+    pending_replies: BTreeMap<u64, (u64, ReplyTo)>,
     /// Where members not in the membership known here were heard from.
     heard_from: BTreeMap<MemberId, SocketAddr>,
     /// Workflow calls that wait for their entry: its term, and whom to answer.
@@ -155,13 +155,14 @@
             ..RaftOptions::default()
         };
         let raft = Raft::new(options.member, recovered, raft_options, now);
-        let client = ControlClient::new(options.address, options.controls.clone(), options.boot);
+        let client =
+            ControlClient::new(options.address, options.control_addresses.clone(), options.boot);
         let mut res = ControlCore {
-            state: State::new(options.place),
+            state: State::new(options.group_id),
             options,
             raft,
-            leading: None,
-            waiting: BTreeMap::new(),
+            leader_state: None,
+            pending_replies: BTreeMap::new(),
             heard_from: BTreeMap::new(),
             pending_calls: BTreeMap::new(),
             membership_manager: membership_manager::MembershipManager::default(),
@@ -191,7 +192,7 @@
 
     /// Returns the leader's scheduler, while this member leads.
     pub fn scheduler(&self) -> Option<&Scheduler> {
-        self.leading.as_ref().map(|it| &it.scheduler)
+        self.leader_state.as_ref().map(|it| &it.scheduler)
     }
 
     /// Returns whether this member can answer: it is up to date, and leads or knows who does.
@@ -202,7 +203,7 @@
     /// Returns when the next [`Input::Tick`] is due.
     pub fn next_tick_ms(&self) -> u64 {
         let raft_ms = self.raft.next_tick_ms();
-        let leading_ms = self.leading.as_ref().map_or(u64::MAX, |it| it.tick_at_ms);
+        let leading_ms = self.leader_state.as_ref().map_or(u64::MAX, |it| it.tick_at_ms);
         raft_ms
             .min(leading_ms)
             .min(self.membership_tick_ms())
@@ -223,12 +224,12 @@
         match input {
             Input::Message { from, message } => self.on_message(now, from, message),
             Input::Operation { token, operation, deadline_ms } => {
-                self.operate(now, operation, ReplyTo::Edge { token }, deadline_ms)
+                self.operate(now, operation, ReplyTo::Local { token }, deadline_ms)
             }
-            Input::Persisted { number } => self.raft.persisted(now, number),
+            Input::Persisted { number } => self.raft.on_persisted(now, number),
             Input::DiskFull(it) => self.disk_full = it,
             Input::DiskWritesRefused(it) => self.on_disk_writes_refused(now, it),
-            Input::ControlAddresses(it) => self.options.controls = it,
+            Input::ControlAddresses(it) => self.options.control_addresses = it,
             Input::Tick => self.tick(now),
             Input::Stop => self.raft.transfer_leadership(now),
         }
@@ -279,23 +280,23 @@
     fn tick(&mut self, now: Now) {
         self.raft.tick(now);
         for (token, outcome) in self.client.tick(now) {
-            self.answer(ReplyTo::Edge { token }, outcome);
+            self.answer(ReplyTo::Local { token }, outcome);
         }
         if self.raft.has_lease(now) {
             self.lead(now);
         }
         self.tick_membership(now);
-        if let Some(it) = &mut self.leading {
+        if let Some(it) = &mut self.leader_state {
             it.tick_at_ms = now.mono_ms + LEADER_TICK_MS;
         }
     }
 
     /// Does what a leader does by itself.
     fn lead(&mut self, now: Now) {
-        let Some(leading) = &mut self.leading else { return };
-        leading.sessions.forget_silent_entries(now);
-        let expired = leading.sessions.take_expired(now);
-        let plan = leading.scheduler.plan(&self.state, now);
+        let Some(leader_state) = &mut self.leader_state else { return };
+        leader_state.sessions.forget_silent_entries(now);
+        let expired = leader_state.sessions.take_expired(now);
+        let plan = leader_state.scheduler.plan(&self.state, now);
         let mut commands: Vec<Command> = expired
             .into_iter()
             .map(|session| {
@@ -303,9 +304,9 @@
             })
             .collect();
         commands.extend(plan.starts.into_iter().map(Command::Start));
-        commands.extend(plan.flags.into_iter().map(Command::VmFlags));
+        commands.extend(plan.vm_flags.into_iter().map(Command::VmFlags));
         commands.extend(self.new_events(plan.events));
-        if let Some(it) = &mut self.leading
+        if let Some(it) = &mut self.leader_state
             && it.expire_at_ms <= now.mono_ms
         {
             it.expire_at_ms = now.mono_ms + EXPIRE_MS;
@@ -316,7 +317,7 @@
             }));
         }
         for it in commands {
-            self.propose(now, it, ReplyTo::Nobody);
+            self.propose(now, it, ReplyTo::NoReply);
         }
     }
 
@@ -332,7 +333,7 @@
             }
             Message::ControlReply(it) => {
                 if let Some((token, outcome)) = self.client.on_reply(now, it) {
-                    self.answer(ReplyTo::Edge { token }, outcome);
+                    self.answer(ReplyTo::Local { token }, outcome);
                 }
             }
             Message::AgentHeartbeat(it) => self.on_agent_heartbeat(now, it),
@@ -355,7 +356,7 @@
                 Committed::Snapshot(it) => {
                     self.state = State::from_bytes(&it.data)?;
                     // Indexes beside the old state are worth nothing; a leader installs none.
-                    self.leading = None;
+                    self.leader_state = None;
                 }
                 Committed::Entry(it) => self.apply_entry(now, &it),
             }
@@ -370,9 +371,9 @@
     }
 
     fn apply_entry(&mut self, now: Now, entry: &Arc<LogEntry>) {
-        let waiting = self.waiting.remove(&entry.index);
+        let waiting = self.pending_replies.remove(&entry.index);
         let EntryBody::Command(command) = &entry.body else {
-            self.state.touch(entry.index, entry.time_ms);
+            self.state.advance_to(entry.index, entry.time_ms);
             if let Some((term, to)) = waiting
                 && term == entry.term
             {
@@ -391,12 +392,12 @@
         }
         let mut changes = Vec::new();
         let outcome = self.state.apply(entry.index, entry.time_ms, command, &mut changes);
-        if let Some(leading) = &mut self.leading {
-            leading.note_command(&self.state, &self.options.settings, command, &outcome, now);
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.note_command(&self.state, &self.options.settings, command, &outcome, now);
             for it in &changes {
-                leading.scheduler.note(&self.state, *it);
+                leader_state.scheduler.note_change(&self.state, *it);
             }
-            let orders = start_orders(&self.state, &changes, &leading.sessions);
+            let orders = start_orders(&self.state, &changes, &leader_state.sessions);
             self.effects.extend(orders);
         }
         match waiting {
@@ -408,7 +409,7 @@
 
     /// Takes up and lays down what only a leader keeps.
     fn follow_leadership(&mut self, now: Now) {
-        match (self.raft.is_leader(), self.leading.is_some()) {
+        match (self.raft.is_leader(), self.leader_state.is_some()) {
             // Only once everything of earlier terms is applied is the state the leader's own.
             (true, false) if self.raft.has_lease(now) => {
                 let settings = &self.options.settings;
@@ -418,15 +419,15 @@
                     quarantine_ms: settings.quarantine_ms.into(),
                     ..SchedulerOptions::default()
                 };
-                self.leading = Some(LeaderState {
+                self.leader_state = Some(LeaderState {
                     since_ms: now.mono_ms,
-                    sessions: Sessions::take_over(&self.state, now, held_ms(settings)),
+                    sessions: Sessions::take_over(&self.state, now, lease_with_margin_ms(settings)),
                     directory: Directory::new(self.raft.term()),
                     scheduler: Scheduler::new(&self.state, scheduler),
                     dispatcher: self.options.dispatch.map(|it| {
                         Dispatcher::new(it, &self.state.workflows, self.raft.term(), now)
                     }),
-                    proposed: HashSet::new(),
+                    proposed_events: HashSet::new(),
                     expire_at_ms: now.mono_ms + EXPIRE_MS,
                     tick_at_ms: now.mono_ms,
                 });
@@ -437,7 +438,7 @@
                 );
             }
             (false, true) => {
-                self.leading = None;
+                self.leader_state = None;
                 tracing::info!(event = "leadership_lost", term = self.raft.term());
             }
             _ => (),
@@ -445,8 +446,8 @@
         if !self.raft.is_leader() && !self.pending_calls.is_empty() {
             self.abandon_calls();
         }
-        if !self.raft.is_leader() && !self.waiting.is_empty() {
-            for (_, to) in std::mem::take(&mut self.waiting).into_values() {
+        if !self.raft.is_leader() && !self.pending_replies.is_empty() {
+            for (_, to) in std::mem::take(&mut self.pending_replies).into_values() {
                 self.answer_not_leader(to);
             }
         }
@@ -475,11 +476,15 @@
                 for id in ended {
                     self.end_session(id);
                 }
-                self.sessions.open(it.session, now, held_ms(settings));
+                self.sessions.open(it.session, now, lease_with_margin_ms(settings));
             }
             (Command::CloseSession(it), _) => self.end_session(it.session),
             (Command::TaskEvent(it), _) => {
-                self.proposed.remove(&(it.task, it.incarnation, std::mem::discriminant(&it.event)));
+                self.proposed_events.remove(&(
+                    it.task,
+                    it.incarnation,
+                    std::mem::discriminant(&it.event),
+                ));
                 if let (TaskEvent::Completed(done), Ok(_)) = (&it.event, outcome)
                     && let Some(task) = state.jobs.task(it.task)
                 {
@@ -508,7 +513,7 @@
 }
 
 /// Returns how long a lease granted now keeps its tasks from being placed anew.
-fn held_ms(settings: &ControlSettings) -> u64 {
+fn lease_with_margin_ms(settings: &ControlSettings) -> u64 {
     u64::from(settings.lease_ms) + u64::from(settings.lease_margin_ms)
 }
 
--- a/src/control/core/operations.rs
+++ b/src/control/core/operations.rs
@@ -29,7 +29,7 @@
     ) {
         let ready = self.raft.has_lease(now);
         match (to, operation) {
-            (ReplyTo::Edge { token }, operation) if !ready => {
+            (ReplyTo::Local { token }, operation) if !ready => {
                 self.client.set_leader(self.leader_address());
                 self.client.call(now, operation, deadline_ms, token);
             }
@@ -44,7 +44,7 @@
             }
             (_, Operation::Membership(it)) => match self.raft.change_members(now, it) {
                 Ok(index) => {
-                    self.waiting.insert(index, (self.raft.term(), to));
+                    self.pending_replies.insert(index, (self.raft.term(), to));
                 }
                 Err(error) => self.answer_unproposed(to, error),
             },
@@ -110,7 +110,7 @@
                 10_000,
             ));
         }
-        if PROPOSALS_MAX <= self.waiting.len() {
+        if PROPOSALS_MAX <= self.pending_replies.len() {
             return full("proposals under way", PROPOSALS_MAX as u32);
         }
         let state = &self.state;
@@ -151,7 +151,7 @@
     pub(super) fn propose(&mut self, now: Now, command: Command, to: ReplyTo) {
         match self.raft.propose(now, EntryBody::Command(command)) {
             Ok(index) => {
-                self.waiting.insert(index, (self.raft.term(), to));
+                self.pending_replies.insert(index, (self.raft.term(), to));
             }
             Err(error) => self.answer_unproposed(to, error),
         }
@@ -178,20 +178,20 @@
                 let result = ControlResult::NotLeader(self.leader_address());
                 self.send_reply(address, id, result);
             }
-            ReplyTo::Edge { .. } => {
+            ReplyTo::Local { .. } => {
                 let detail = "the leader changed meanwhile: ask again with the same key";
                 self.answer(
                     to,
                     Err(refusal_with_retry_after(ErrorKind::ControlUnavailable, detail, 500)),
                 );
             }
-            ReplyTo::Nobody => (),
+            ReplyTo::NoReply => (),
         }
     }
 
     pub(super) fn answer(&mut self, to: ReplyTo, outcome: ReplyResult) {
         match to {
-            ReplyTo::Edge { token } => self.effects.push(Effect::Answer { token, outcome }),
+            ReplyTo::Local { token } => self.effects.push(Effect::Answer { token, outcome }),
             ReplyTo::Link { address, id } => {
                 let result = match outcome {
                     Ok(it) => ControlResult::Ok(it),
@@ -199,7 +199,7 @@
                 };
                 self.send_reply(address, id, result);
             }
-            ReplyTo::Nobody => (),
+            ReplyTo::NoReply => (),
         }
     }
 
--- a/src/control/core/reports.rs
+++ b/src/control/core/reports.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     control::{
-        core::{ControlCore, Effect, ReplyTo, heartbeat_reply, held_ms},
+        core::{ControlCore, Effect, ReplyTo, heartbeat_reply, lease_with_margin_ms},
         reconcile,
     },
     prelude::*,
@@ -13,16 +13,20 @@
 impl ControlCore {
     /// Turns events into commands, without those already on their way.
     pub(super) fn new_events(&mut self, events: Vec<TaskEventCommand>) -> Vec<Command> {
-        let Some(leading) = &mut self.leading else { return Vec::new() };
+        let Some(leader_state) = &mut self.leader_state else { return Vec::new() };
         let is_new = |it: &TaskEventCommand| {
-            leading.proposed.insert((it.task, it.incarnation, std::mem::discriminant(&it.event)))
+            leader_state.proposed_events.insert((
+                it.task,
+                it.incarnation,
+                std::mem::discriminant(&it.event),
+            ))
         };
         events.into_iter().filter(is_new).map(Command::TaskEvent).collect()
     }
 
     /// Returns whether this member may answer reports; who sent one is told where to turn if not.
     fn takes_report(&mut self, now: Now, from: SocketAddr) -> bool {
-        let res = self.raft.has_lease(now) && self.leading.is_some();
+        let res = self.raft.has_lease(now) && self.leader_state.is_some();
         if !res {
             let message = Message::NotLeader(self.leader_address());
             self.effects.push(Effect::Send { to: from, message });
@@ -34,9 +38,10 @@
         if !self.takes_report(now, it.reply_to) {
             return;
         }
-        let Some(leading) = &mut self.leading else { return };
+        let Some(leader_state) = &mut self.leader_state else { return };
         let vm = self.state.vms.by_session(it.session);
-        let seen = leading.sessions.agents.get_mut(&it.session).filter(|seen| !seen.closing);
+        let seen =
+            leader_state.sessions.agents.get_mut(&it.session).filter(|seen| !seen.is_closing);
         let (Some(vm), Some(seen)) = (vm, seen) else {
             let reply = heartbeat_reply(&it, 0, SessionVerdict::Ended, Vec::new());
             self.effects.push(Effect::Send {
@@ -51,20 +56,20 @@
         }
         let was_draining = std::mem::replace(&mut seen.draining, it.draining);
         seen.number = it.number;
-        seen.heard = true;
+        seen.has_reported = true;
         seen.reconciled = it.reconciled;
         seen.in_force = it.in_force;
         seen.usage = it.usage;
-        seen.held_until_ms = now.mono_ms + held_ms(&self.options.settings);
+        seen.lease_expires_ms = now.mono_ms + lease_with_margin_ms(&self.options.settings);
         let is_evacuated = self.state.workflows.evacuations().contains(&vm.zone);
-        leading.directory.set(it.session, it.reply_to, vm, is_evacuated, &it.endpoints);
+        leader_state.directory.set(it.session, it.reply_to, vm, is_evacuated, &it.endpoints);
         let age_ms = u64::from(it.usage.age_ms);
         let mut events =
-            leading.scheduler.note_endpoints(&self.state, vm, &it.endpoints, age_ms, now);
+            leader_state.scheduler.note_endpoints(&self.state, vm, &it.endpoints, age_ms, now);
         let mut res = reconcile::reconcile(&self.state, vm, &it.tasks, it.reconciled);
         events.append(&mut res.events);
         for report in &it.tasks {
-            if let Some(permille) = leading.scheduler.throttle_permille(report.task) {
+            if let Some(permille) = leader_state.scheduler.throttle_permille(report.task) {
                 let action = TaskAction::Throttle(permille);
                 res.orders.push(TaskOrder {
                     task: report.task,
@@ -82,7 +87,7 @@
         self.effects
             .push(Effect::Send { to: it.reply_to, message: Message::AgentHeartbeatReply(reply) });
         for command in self.new_events(events) {
-            self.propose(now, command, ReplyTo::Nobody);
+            self.propose(now, command, ReplyTo::NoReply);
         }
     }
 
@@ -90,12 +95,13 @@
         if !self.takes_report(now, it.reply_to) {
             return;
         }
-        let Some(leading) = &mut self.leading else { return };
-        leading.sessions.note_entry(now, it);
+        let Some(leader_state) = &mut self.leader_state else { return };
+        leader_state.sessions.note_entry(now, it);
         // A new leader has heard of no endpoints yet; telling that would empty every entry.
-        let waited = leading.since_ms + u64::from(self.options.settings.lease_ms) <= now.mono_ms;
-        let directory = match leading.sessions.all_reported() || waited {
-            true => leading.directory.update_since(it.directory_epoch, it.directory_version),
+        let waited =
+            leader_state.since_ms + u64::from(self.options.settings.lease_ms) <= now.mono_ms;
+        let directory = match leader_state.sessions.all_reported() || waited {
+            true => leader_state.directory.update_since(it.directory_epoch, it.directory_version),
             false => None,
         };
         let configuration = self.news_for(it.in_force);
--- a/src/control/core/workflows.rs
+++ b/src/control/core/workflows.rs
@@ -27,10 +27,10 @@
 
     pub(super) fn on_workflow_call(&mut self, now: Now, it: WorkflowCall) {
         let to = CallReplyTo { address: it.reply_to, id: it.id };
-        if !self.raft.has_lease(now) || self.leading.is_none() {
+        if !self.raft.has_lease(now) || self.leader_state.is_none() {
             return self.answer_call(to, WorkflowOutcome::NotLeader(self.leader_address()));
         }
-        match Dispatcher::decide(&self.state.workflows, it.request, now) {
+        match Dispatcher::decide_request(&self.state.workflows, it.request, now) {
             RequestDecision::Answer(outcome) => self.answer_call(to, outcome),
             RequestDecision::Propose(_) if self.disk_full || self.disk_writes_refused => {
                 tracing::warn!(event = "proposal_refused", cause = "disk_full", call = to.id);
@@ -41,14 +41,14 @@
     }
 
     pub(super) fn on_node_report(&mut self, now: Now, it: NodeReport) {
-        if !self.raft.has_lease(now) || self.leading.is_none() {
+        if !self.raft.has_lease(now) || self.leader_state.is_none() {
             let message = Message::NotLeader(self.leader_address());
             self.effects.push(Effect::Send { to: it.node, message });
             return;
         }
         let members = self.member_addresses();
-        if let Some(leading) = &mut self.leading
-            && let Some(dispatcher) = &mut leading.dispatcher
+        if let Some(leader_state) = &mut self.leader_state
+            && let Some(dispatcher) = &mut leader_state.dispatcher
         {
             dispatcher.on_report(&self.state.workflows, it, &members, now);
         }
@@ -62,7 +62,7 @@
         command: &WorkflowCommand,
     ) -> WorkflowOutcome {
         // Once for the group, by the member that decides.
-        let is_logged = self.leading.is_some();
+        let is_logged = self.leader_state.is_some();
         let expected =
             if is_logged { event_logging::expected(&self.state, command) } else { Vec::new() };
         let outcome = self.state.apply_workflow(entry.index, entry.time_ms, command);
@@ -70,14 +70,17 @@
             event_logging::log_applied(&self.state, command, entry, &outcome, &expected);
         }
         let members = self.member_addresses();
-        if let Some(leading) = &mut self.leading
-            && let Some(dispatcher) = &mut leading.dispatcher
+        if let Some(leader_state) = &mut self.leader_state
+            && let Some(dispatcher) = &mut leader_state.dispatcher
         {
             dispatcher.note_applied(&self.state.workflows, command, &members, now);
         }
-        if let (WorkflowCommand::Evacuate(it), Some(leading)) = (command, &mut self.leading) {
+        if let (WorkflowCommand::Evacuate(it), Some(leader_state)) =
+            (command, &mut self.leader_state)
+        {
             let in_zone = self.state.vms.iter().filter(|vm| vm.zone == it.zone);
-            in_zone.for_each(|vm| leading.scheduler.note(&self.state, Change::Vm(vm.id)));
+            in_zone
+                .for_each(|vm| leader_state.scheduler.note_change(&self.state, Change::Vm(vm.id)));
         }
         if let Some((term, to)) = self.pending_calls.remove(&entry.index) {
             let answer = match term == entry.term {
@@ -95,16 +98,16 @@
             return;
         }
         let members = self.member_addresses();
-        let Some(leading) = &mut self.leading else { return };
-        let Some(dispatcher) = &mut leading.dispatcher else { return };
+        let Some(leader_state) = &mut self.leader_state else { return };
+        let Some(dispatcher) = &mut leader_state.dispatcher else { return };
         if dispatcher.next_tick_ms() <= now.mono_ms {
             dispatcher.tick(&self.state.workflows, now);
         }
-        let step = dispatcher.finish_turn(&self.state.workflows, &members, now);
-        for (to, message) in step.messages {
+        let output = dispatcher.finish_turn(&self.state.workflows, &members, now);
+        for (to, message) in output.messages {
             self.effects.push(Effect::Send { to, message });
         }
-        for command in step.commands {
+        for command in output.commands {
             self.propose_workflow(now, command, None);
         }
         self.raft.flush(now);
@@ -131,8 +134,8 @@
             }
             (Err(error), None) => {
                 tracing::info!(event = "proposal_refused", cause = ?error);
-                if let Some(leading) = &mut self.leading
-                    && let Some(dispatcher) = leading.dispatcher.as_mut().filter(|_| is_begin)
+                if let Some(leader_state) = &mut self.leader_state
+                    && let Some(dispatcher) = leader_state.dispatcher.as_mut().filter(|_| is_begin)
                 {
                     dispatcher.note_begin_rejected();
                 }
--- a/src/control/dispatch/capacity.rs
+++ b/src/control/dispatch/capacity.rs
@@ -49,17 +49,22 @@
 pub(super) struct TaskDemand<'a> {
     pub step: &'a WorkflowStep,
     pub queue: &'a Queue,
-    pub work: RunKind,
-    pub reserve: Resources,
+    pub run_kind: RunKind,
+    pub reservation: Resources,
 }
 
 impl<'a> TaskDemand<'a> {
     pub(super) fn new(
         step: &'a WorkflowStep,
         queue: &'a Queue,
-        harm: &mut ContentionModel,
+        contention: &mut ContentionModel,
     ) -> TaskDemand<'a> {
-        TaskDemand { step, queue, work: RunKind::of(step, harm), reserve: reservation_of(step) }
+        TaskDemand {
+            step,
+            queue,
+            run_kind: RunKind::of(step, contention),
+            reservation: reservation_of(step),
+        }
     }
 }
 
@@ -70,27 +75,27 @@
     /// Loads that its tasks share, by the step that they are of.
     groups: Vec<StepRef>,
     /// Headroom with no filler beside it, of the load that leaves least.
-    rest_percent: f64,
+    idle_headroom_percent: f64,
     /// What the fillers here take from it at full speed.
-    taken_percent: f64,
+    used_percent: f64,
     /// What its tasks reserve for their peaks, and the share of it that they use now. By a share
     /// of 45 % at any time, 60 days of seven deployments earned 0.027 less (+-0.011).
     millicores: u32,
-    use_share: f64,
+    cpu_use_share: f64,
 }
 
 impl Served {
     /// Returns the headroom that further fillers may take.
     fn room_percent(&self) -> f64 {
-        self.rest_percent - HEADROOM_MIN_PERCENT - self.taken_percent
+        self.idle_headroom_percent - HEADROOM_MIN_PERCENT - self.used_percent
     }
 
-    fn read(&mut self, fillers: &[FillerLoad], harm: &ContentionModel) {
-        let rests = self.groups.iter().map(|it| harm.rest_percent(self.image, *it));
-        self.rest_percent = rests.fold(f64::MAX, f64::min);
-        self.taken_percent = harm.taken_percent(self.image, fillers);
-        let uses = self.groups.iter().map(|it| harm.use_share(self.image, *it));
-        self.use_share = uses.reduce(f64::max).unwrap_or(MEAN_CPU_USE_SHARE);
+    fn read(&mut self, fillers: &[FillerLoad], contention: &ContentionModel) {
+        let rests = self.groups.iter().map(|it| contention.idle_headroom_percent(self.image, *it));
+        self.idle_headroom_percent = rests.fold(f64::MAX, f64::min);
+        self.used_percent = contention.used_percent(self.image, fillers);
+        let uses = self.groups.iter().map(|it| contention.cpu_use_share(self.image, *it));
+        self.cpu_use_share = uses.reduce(f64::max).unwrap_or(MEAN_CPU_USE_SHARE);
     }
 }
 
@@ -114,7 +119,7 @@
         workflows: &Workflows,
         id: WorkerId,
         worker: &Worker,
-        harm: &mut ContentionModel,
+        contention: &mut ContentionModel,
     ) -> FreeCapacity {
         let mut res = FreeCapacity {
             id,
@@ -129,11 +134,11 @@
         };
         for run in &worker.runs {
             let Some(step) = workflows.step_of(run.task) else { continue };
-            match RunKind::of(step, harm) {
+            match RunKind::of(step, contention) {
                 RunKind::Serving { image, .. } => {
                     let served = res.served_of(image);
                     served.millicores += step.need.cpu_millicores;
-                    let group = StepRef::of(run.task);
+                    let group = StepRef::of_task(run.task);
                     if !served.groups.contains(&group) {
                         served.groups.push(group);
                     }
@@ -144,7 +149,7 @@
                 RunKind::Plain => (),
             }
         }
-        res.read(harm);
+        res.read(contention);
         res
     }
 
@@ -154,9 +159,9 @@
     }
 
     /// Reads loads and costs anew.
-    fn read(&mut self, harm: &ContentionModel) {
+    fn read(&mut self, contention: &ContentionModel) {
         for it in &mut self.served {
-            it.read(&self.fillers, harm);
+            it.read(&self.fillers, contention);
         }
     }
 
@@ -166,10 +171,10 @@
             self.served.push(Served {
                 image,
                 groups: Vec::new(),
-                rest_percent: f64::MAX,
-                taken_percent: 0.0,
+                idle_headroom_percent: f64::MAX,
+                used_percent: 0.0,
                 millicores: 0,
-                use_share: MEAN_CPU_USE_SHARE,
+                cpu_use_share: MEAN_CPU_USE_SHARE,
             });
             self.served.len() - 1
         });
@@ -191,66 +196,72 @@
 
     /// Returns the processor that a further filler would find unused.
     fn unused_millicores(&self) -> u32 {
-        let unused = |it: &Served| f64::from(it.millicores) * (1.0 - it.use_share);
+        let unused = |it: &Served| f64::from(it.millicores) * (1.0 - it.cpu_use_share);
         let unused = self.served.iter().map(unused).sum::<f64>() as u32;
         (self.free.cpu_millicores + unused).saturating_sub(self.filler_millicores)
     }
 
     /// Returns the share of its speed that a further filler would reach.
-    pub(super) fn speed_of(&self, image: ImageKey, millicores: u32, harm: &ContentionModel) -> f64 {
+    pub(super) fn speed_of(
+        &self,
+        image: ImageKey,
+        millicores: u32,
+        contention: &ContentionModel,
+    ) -> f64 {
         let processor = f64::from(self.unused_millicores()) / f64::from(millicores.max(1));
-        let pace = |it: &Served| match harm.cost_percent(it.image, image) * self.cores(millicores) {
-            cost if cost <= NEGLIGIBLE_COST_PERCENT => 1.0,
-            cost => it.room_percent() / cost,
-        };
+        let pace =
+            |it: &Served| match contention.cost_percent(it.image, image) * self.cores(millicores) {
+                cost if cost <= NEGLIGIBLE_COST_PERCENT => 1.0,
+                cost => it.room_percent() / cost,
+            };
         self.served.iter().map(pace).fold(processor, f64::min).clamp(0.0, 1.0)
     }
 
     /// Returns what a further filler would take from all images that serve here.
-    fn cost_of(&self, image: ImageKey, millicores: u32, harm: &ContentionModel) -> f64 {
-        let costs = self.served.iter().map(|it| harm.cost_percent(it.image, image));
+    fn cost_of(&self, image: ImageKey, millicores: u32, contention: &ContentionModel) -> f64 {
+        let costs = self.served.iter().map(|it| contention.cost_percent(it.image, image));
         costs.sum::<f64>() * self.cores(millicores)
     }
 
-    fn holds(&self, asked: &TaskDemand<'_>, placed: u32) -> bool {
-        let step = asked.step;
-        fits(asked.reserve, self.free)
+    fn holds(&self, demand: &TaskDemand<'_>, placed: u32) -> bool {
+        let step = demand.step;
+        fits(demand.reservation, self.free)
             && (step.per_worker_max == 0 || placed < step.per_worker_max)
             && (step.required_label.is_empty() || step.required_label == self.kind)
-            && self.service == asked.queue.service
+            && self.service == demand.queue.service
     }
 
     /// Returns how much the worker is wanted for a task, or nothing if it cannot take it.
     pub(super) fn offer(
         &self,
-        asked: &TaskDemand<'_>,
+        demand: &TaskDemand<'_>,
         placed: u32,
         care: PlacementMode,
-        harm: &ContentionModel,
+        contention: &ContentionModel,
     ) -> Option<Preference> {
-        if !self.holds(asked, placed) {
+        if !self.holds(demand, placed) {
             return None;
         }
-        let step = asked.step;
+        let step = demand.step;
         let serving: u32 = self.served.iter().map(|it| it.millicores).sum();
         let packed = i64::from(serving) - i64::from(self.idle_millicores());
-        let rank = match asked.work {
+        let rank = match demand.run_kind {
             // Where it is fast, then where it costs least, then where most is unused.
             RunKind::Filler { image, millicores } => {
-                let speed = self.speed_of(image, millicores, harm);
+                let speed = self.speed_of(image, millicores, contention);
                 if care == PlacementMode::ProtectLatency && speed < SPEED_MIN {
                     return None;
                 }
                 [
                     (speed * 10.0) as i64,
-                    -(self.cost_of(image, millicores, harm) / NEGLIGIBLE_COST_PERCENT) as i64,
+                    -(self.cost_of(image, millicores, contention) / NEGLIGIBLE_COST_PERCENT) as i64,
                     i64::from(self.unused_millicores()),
                 ]
             }
             // Images keep to few workers each, so that a filler that harms one finds others.
             RunKind::Serving { image, .. } => {
                 let own = self.served.iter().find(|it| it.image == image);
-                let taken = harm.taken_percent(image, &self.fillers);
+                let taken = contention.used_percent(image, &self.fillers);
                 let own_millicores = own.map_or(0, |it| i64::from(it.millicores));
                 let is_empty = i64::from(self.served.is_empty());
                 [
@@ -266,47 +277,48 @@
         Some(Preference { is_near, rank })
     }
 
-    pub(super) fn take(&mut self, asked: &TaskDemand<'_>, harm: &ContentionModel) {
-        self.free = subtract(self.free, asked.reserve);
-        match asked.work {
+    pub(super) fn take(&mut self, demand: &TaskDemand<'_>, contention: &ContentionModel) {
+        self.free = subtract(self.free, demand.reservation);
+        match demand.run_kind {
             RunKind::Filler { image, millicores } => {
                 self.filler_millicores += millicores;
-                self.change_fillers(image, self.cores(millicores), harm);
+                self.change_fillers(image, self.cores(millicores), contention);
             }
             RunKind::Serving { image, .. } => {
-                let taken_percent = harm.taken_percent(image, &self.fillers);
+                let taken_percent = contention.used_percent(image, &self.fillers);
                 let served = self.served_of(image);
-                served.rest_percent = served.rest_percent.min(UNSEEN_REST_PERCENT);
-                served.taken_percent = taken_percent;
-                served.millicores += asked.step.need.cpu_millicores;
+                served.idle_headroom_percent =
+                    served.idle_headroom_percent.min(UNSEEN_REST_PERCENT);
+                served.used_percent = taken_percent;
+                served.millicores += demand.step.need.cpu_millicores;
             }
             RunKind::Plain => (),
         }
     }
 
     /// Takes back a placement of a gang that did not fit whole.
-    pub(super) fn give_back(&mut self, asked: &TaskDemand<'_>, harm: &ContentionModel) {
-        self.free = add(self.free, asked.reserve);
-        if let RunKind::Filler { image, millicores } = asked.work {
+    pub(super) fn give_back(&mut self, demand: &TaskDemand<'_>, contention: &ContentionModel) {
+        self.free = add(self.free, demand.reservation);
+        if let RunKind::Filler { image, millicores } = demand.run_kind {
             self.filler_millicores -= millicores;
-            self.change_fillers(image, -self.cores(millicores), harm);
+            self.change_fillers(image, -self.cores(millicores), contention);
         }
     }
 
-    fn change_fillers(&mut self, image: ImageKey, cores: f64, harm: &ContentionModel) {
+    fn change_fillers(&mut self, image: ImageKey, cores: f64, contention: &ContentionModel) {
         self.note_filler(image, cores);
         for it in &mut self.served {
-            it.taken_percent += harm.cost_percent(it.image, image) * cores;
+            it.used_percent += contention.cost_percent(it.image, image) * cores;
         }
     }
 
     /// Returns what a core of each image of fillers here takes from each image that serves.
-    pub(super) fn costs(&self, harm: &ContentionModel) -> Vec<ImageCost> {
+    pub(super) fn costs(&self, contention: &ContentionModel) -> Vec<ImageCost> {
         let core = self.cores(1_000);
         let cost = |serving: ImageKey, filler: ImageKey| ImageCost {
-            serving: harm.image_name(serving).clone(),
-            filler: harm.image_name(filler).clone(),
-            headroom_percent: (harm.cost_percent(serving, filler) * core) as f32,
+            serving: contention.image_name(serving).clone(),
+            filler: contention.image_name(filler).clone(),
+            headroom_percent: (contention.cost_percent(serving, filler) * core) as f32,
         };
         let pairs = self
             .served
@@ -333,23 +345,23 @@
 /// The rooms of all workers in the ledger.
 #[derive(Debug, Default)]
 pub(super) struct FreeCapacities {
-    rooms: BTreeMap<WorkerId, FreeCapacity>,
+    by_worker: BTreeMap<WorkerId, FreeCapacity>,
     /// Workers whose runs have changed since their rooms were made.
     stale: BTreeSet<WorkerId>,
     read_at_ms: u64,
     /// How many rooms were looked at so far in walks over all of them.
-    looks: u64,
+    rows_visited: u64,
 }
 
 impl FreeCapacities {
     /// Returns how many rooms were looked at so far in walks over all of them.
-    pub(super) fn looks(&self) -> u64 {
-        self.looks
+    pub(super) fn rows_visited(&self) -> u64 {
+        self.rows_visited
     }
 
     /// Counts rooms that a plan looked at.
-    pub(super) fn note_visited(&mut self, looks: u64) {
-        self.looks += looks;
+    pub(super) fn note_visited(&mut self, rows_visited: u64) {
+        self.rows_visited += rows_visited;
     }
 
     /// Takes note of a worker whose runs have changed.
@@ -361,24 +373,29 @@
     pub(super) fn get(
         &mut self,
         workflows: &Workflows,
-        harm: &mut ContentionModel,
+        contention: &mut ContentionModel,
         id: WorkerId,
     ) -> Option<&FreeCapacity> {
         if self.stale.remove(&id) {
-            self.make(workflows, harm, id);
+            self.make(workflows, contention, id);
         }
-        self.rooms.get(&id)
+        self.by_worker.get(&id)
     }
 
     /// Brings all rooms up to what the ledger and the reports say.
-    pub(super) fn refresh(&mut self, workflows: &Workflows, harm: &mut ContentionModel, now: Now) {
+    pub(super) fn refresh(
+        &mut self,
+        workflows: &Workflows,
+        contention: &mut ContentionModel,
+        now: Now,
+    ) {
         for id in std::mem::take(&mut self.stale) {
-            self.make(workflows, harm, id);
+            self.make(workflows, contention, id);
         }
         if self.read_at_ms <= now.mono_ms {
             self.read_at_ms = now.mono_ms + READ_INTERVAL_MS;
-            self.looks += self.rooms.len() as u64;
-            self.rooms.values_mut().for_each(|it| it.read(harm));
+            self.rows_visited += self.by_worker.len() as u64;
+            self.by_worker.values_mut().for_each(|it| it.read(contention));
         }
     }
 
@@ -387,11 +404,11 @@
         &mut self,
         workflows: &Workflows,
         sessions: &Sessions,
-        usable: UsabilityCriteria,
+        usability: UsabilityCriteria,
     ) -> Vec<&mut FreeCapacity> {
-        self.looks += self.rooms.len() as u64;
-        let is_usable = |id| sessions.is_usable(id, usable) && !workflows.is_evacuated(id);
-        self.rooms.values_mut().filter(|it| is_usable(it.id)).collect()
+        self.rows_visited += self.by_worker.len() as u64;
+        let is_usable = |id| sessions.is_usable(id, usability) && !workflows.is_evacuated(id);
+        self.by_worker.values_mut().filter(|it| is_usable(it.id)).collect()
     }
 
     /// Checks that what is kept is what would be made anew.
@@ -402,12 +419,12 @@
     pub(super) fn audit(
         &self,
         workflows: &Workflows,
-        harm: &mut ContentionModel,
+        contention: &mut ContentionModel,
     ) -> Result<(), String> {
         for (id, worker) in workflows.workers().iter().filter(|(id, _)| !self.stale.contains(id)) {
-            let made = FreeCapacity::new(workflows, id, worker, harm);
-            let kept = self.rooms.get(&id).cloned().map(|mut it| {
-                it.read(harm);
+            let made = FreeCapacity::new(workflows, id, worker, contention);
+            let kept = self.by_worker.get(&id).cloned().map(|mut it| {
+                it.read(contention);
                 it
             });
             if kept.as_ref() != Some(&made) {
@@ -415,18 +432,18 @@
             }
         }
         let gone = |id: &&WorkerId| workflows.workers().get(**id).is_none();
-        match self.rooms.keys().filter(|it| !self.stale.contains(it)).find(gone) {
+        match self.by_worker.keys().filter(|it| !self.stale.contains(it)).find(gone) {
             Some(id) => Err(format!("a room is kept of worker {id}, which is gone")),
             None => Ok(()),
         }
     }
 
-    fn make(&mut self, workflows: &Workflows, harm: &mut ContentionModel, id: WorkerId) {
+    fn make(&mut self, workflows: &Workflows, contention: &mut ContentionModel, id: WorkerId) {
         match workflows.workers().get(id) {
-            Some(worker) => {
-                drop(self.rooms.insert(id, FreeCapacity::new(workflows, id, worker, harm)))
-            }
-            None => drop(self.rooms.remove(&id)),
+            Some(worker) => drop(
+                self.by_worker.insert(id, FreeCapacity::new(workflows, id, worker, contention)),
+            ),
+            None => drop(self.by_worker.remove(&id)),
         }
     }
 }
--- a/src/control/dispatch/lost_workers.rs
+++ b/src/control/dispatch/lost_workers.rs
@@ -45,18 +45,24 @@
 
 impl Dispatcher {
     /// Gives up a worker: its runs end, and it leaves the ledger.
-    pub(super) fn lose(&mut self, workflows: &Workflows, id: WorkerId, loss: LossCause, now: Now) {
+    pub(super) fn mark_lost(
+        &mut self,
+        workflows: &Workflows,
+        id: WorkerId,
+        loss: LossCause,
+        now: Now,
+    ) {
         let Some(worker) = workflows.workers().get(id) else { return };
         self.log_loss(workflows, id, worker, loss, now);
         if matches!(loss, LossCause::Crashed | LossCause::Replaced) {
-            self.trials.note_crash(now);
+            self.probations.note_crash(now);
         }
         let ends = self.sessions.get(id).map(|it| ends_of_lost(workflows, it, worker, loss, now));
         let ends = ends.unwrap_or_default();
         self.settle_last(workflows, id, loss);
         let finish = FinishRuns { worker: id, cursor: worker.cursor, ends };
-        self.step.commands.push(WorkflowCommand::Finish(finish));
-        self.step.commands.push(WorkflowCommand::Dismiss(id));
+        self.output.commands.push(WorkflowCommand::Finish(finish));
+        self.output.commands.push(WorkflowCommand::Dismiss(id));
         if let Some(it) = self.sessions.get_mut(id) {
             it.is_being_dismissed = true;
         }
@@ -64,13 +70,13 @@
 
     /// Gives up the lifetimes that another one beside the same node takes the place of.
     pub(super) fn mark_replaced_lost(&mut self, workflows: &Workflows, node: SocketAddr, now: Now) {
-        for id in workflows.workers().beside(node) {
+        for id in workflows.workers().ids_at_node(node) {
             let Some(session) = self.sessions.get(id).filter(|it| !it.is_being_dismissed) else {
                 continue;
             };
             let is_leaving = session.report.as_ref().is_some_and(|it| it.draining);
             let loss = if is_leaving { LossCause::Left } else { LossCause::Replaced };
-            self.lose(workflows, id, loss, now);
+            self.mark_lost(workflows, id, loss, now);
         }
     }
 
@@ -82,7 +88,7 @@
         let lapsed = workflows.unsettled_failures_on(id);
         if matches!(loss, LossCause::Crashed | LossCause::Left) && !lapsed.is_empty() {
             let settle = SettleFailures { counted: Vec::new(), lapsed };
-            self.step.commands.push(WorkflowCommand::Settle(settle));
+            self.output.commands.push(WorkflowCommand::Settle(settle));
         }
     }
 
@@ -93,7 +99,7 @@
         let counted = workflows.lost_failures_before(before_ms);
         if !counted.is_empty() {
             let settle = SettleFailures { counted, lapsed: Vec::new() };
-            self.step.commands.push(WorkflowCommand::Settle(settle));
+            self.output.commands.push(WorkflowCommand::Settle(settle));
         }
     }
 
@@ -111,7 +117,7 @@
         }
         // Nothing for one that this leader has never heard.
         let session = self.sessions.get(id);
-        let heard_ms = session.map(|it| it.heard_ms).filter(|it| 0 < *it);
+        let heard_ms = session.map(|it| it.last_report_ms).filter(|it| 0 < *it);
         let silent_ms = heard_ms.map(|it| now.mono_ms.saturating_sub(it));
         let youngest = youngest(workflows, worker, now);
         tracing::warn!(event = "worker_lost", worker = %worker.name, node = %worker.node, runs = worker.runs.len(), silent_ms = ?silent_ms, youngest = %youngest, cause = loss.as_str());
@@ -140,7 +146,9 @@
     let listed = |run: RunRef| report?.running.iter().find(|it| it.run == run);
     let is_refused =
         |run: RunRef| report.is_some_and(|it| it.refused.iter().any(|it| it.run == run));
-    let seen_ms = |run: RunRef| session.watched.get(&run).map_or(0, |it| now.mono_ms - it.since_ms);
+    let seen_ms = |run: RunRef| {
+        session.monitored_runs.get(&run).map_or(0, |it| now.mono_ms - it.first_listed_ms)
+    };
     let looks_outlived = |run: RunRef| {
         workflows.suspects().age_ms(run, now.wall_ms).is_some_and(is_too_old_to_suspect)
     };
--- a/src/control/dispatch/mod.rs
+++ b/src/control/dispatch/mod.rs
@@ -72,47 +72,47 @@
     options: DispatchOptions,
     term: u64,
     sessions: Sessions,
-    harm: ContentionModel,
-    rooms: FreeCapacities,
-    trials: Probations,
+    contention: ContentionModel,
+    free_capacities: FreeCapacities,
+    probations: Probations,
     idle_since: plan::IdleSince,
-    waits: plan::WaitingSteps,
+    waiting_steps: plan::WaitingSteps,
     /// Runs proposed and not yet in the ledger; the next plan waits for them.
     begin_in_flight: bool,
     planned_ms: u64,
     plan_at_ms: u64,
-    plans: u64,
+    plan_count: u64,
     forget_at_ms: u64,
-    readings: ClockReadings,
+    clock_readings: ClockReadings,
     occupancy_at_ms: u64,
     learn_at_ms: u64,
-    step: DispatchOutput,
+    output: DispatchOutput,
 }
 
 impl Dispatcher {
     /// Takes over from an earlier leader, whose leases may run for their full time.
     pub fn new(options: DispatchOptions, workflows: &Workflows, term: u64, now: Now) -> Dispatcher {
-        let mut rooms = FreeCapacities::default();
-        workflows.workers().iter().for_each(|(id, _)| rooms.note_changed(id));
+        let mut free_capacities = FreeCapacities::default();
+        workflows.workers().iter().for_each(|(id, _)| free_capacities.note_changed(id));
         Dispatcher {
             options,
             term,
-            sessions: Sessions::take_over(workflows, now.mono_ms + options.held_ms()),
-            harm: ContentionModel::with_known_costs(workflows.costs(), now.mono_ms),
-            rooms,
-            trials: Probations::take_over(workflows, now),
+            sessions: Sessions::take_over(workflows, now.mono_ms + options.lease_with_margin_ms()),
+            contention: ContentionModel::with_known_costs(workflows.image_costs(), now.mono_ms),
+            free_capacities,
+            probations: Probations::take_over(workflows, now),
             idle_since: plan::IdleSince::default(),
-            waits: plan::WaitingSteps::default(),
+            waiting_steps: plan::WaitingSteps::default(),
             begin_in_flight: false,
             planned_ms: 0,
-            plans: 0,
+            plan_count: 0,
             plan_at_ms: now.mono_ms,
             // The first reading is made at once: what ended before this leader is kept from now on.
             forget_at_ms: now.mono_ms,
-            readings: ClockReadings::default(),
+            clock_readings: ClockReadings::default(),
             occupancy_at_ms: now.mono_ms + OCCUPANCY_INTERVAL_MS,
             learn_at_ms: now.mono_ms + LEARN_INTERVAL_MS,
-            step: DispatchOutput::default(),
+            output: DispatchOutput::default(),
         }
     }
 
@@ -125,14 +125,14 @@
     }
 
     /// Returns how many plans were made so far.
-    pub fn plans(&self) -> u64 {
-        self.plans
+    pub fn plan_count(&self) -> u64 {
+        self.plan_count
     }
 
     /// Returns how many sessions and rooms were looked at so far in walks over all of them: what
     /// grows with the fleet for each event.
-    pub fn looks(&self) -> u64 {
-        self.sessions.looks() + self.rooms.looks()
+    pub fn rows_visited(&self) -> u64 {
+        self.sessions.rows_visited() + self.free_capacities.rows_visited()
     }
 
     /// Checks that the rooms kept are those that the ledger gives, by a walk over all workers.
@@ -141,7 +141,7 @@
     ///
     /// Returns what differs.
     pub fn audit(&mut self, workflows: &Workflows) -> Result<(), String> {
-        self.rooms.audit(workflows, &mut self.harm)
+        self.free_capacities.audit(workflows, &mut self.contention)
     }
 
     /// Lets time pass: leases expire, and occurrences become due.
@@ -150,15 +150,15 @@
         if self.forget_at_ms <= now.mono_ms {
             self.forget_at_ms = now.mono_ms + FORGET_INTERVAL_MS;
             let age_ms = self.options.retention_ms;
-            self.readings.note(now, age_ms);
-            let forgets = self.readings.wall_before(now, age_ms).map(WorkflowCommand::Forget);
-            self.step.commands.extend(forgets);
+            self.clock_readings.note(now, age_ms);
+            let forgets = self.clock_readings.wall_before(now, age_ms).map(WorkflowCommand::Forget);
+            self.output.commands.extend(forgets);
         }
         if self.learn_at_ms <= now.mono_ms {
             self.learn_at_ms = now.mono_ms + LEARN_INTERVAL_MS;
-            let known = self.harm.known();
-            if known != workflows.costs() {
-                self.step.commands.push(WorkflowCommand::Learn(known));
+            let known = self.contention.known_costs();
+            if known != workflows.image_costs() {
+                self.output.commands.push(WorkflowCommand::Learn(known));
             }
             self.settle_lost(workflows, now);
         }
@@ -178,25 +178,29 @@
         if self.plan_at_ms <= now.mono_ms && !self.begin_in_flight {
             self.plan(workflows, members, now);
         }
-        std::mem::take(&mut self.step)
+        std::mem::take(&mut self.output)
     }
 
     fn plan(&mut self, workflows: &Workflows, members: &[SocketAddr], now: Now) {
-        self.plans += 1;
+        self.plan_count += 1;
         self.planned_ms = now.mono_ms;
         self.plan_at_ms = now.mono_ms + self.options.plan.interval_ms;
         let basis = plan::PlanInput {
             workflows,
             sessions: &self.sessions,
-            rooms: &mut self.rooms,
-            harm: &mut self.harm,
-            trials: self.trials.under_way(now),
-            usable: UsabilityCriteria { term: self.term, silent_ms: self.options.silent_ms, now },
+            free_capacities: &mut self.free_capacities,
+            contention: &mut self.contention,
+            probations: self.probations.under_way(now),
+            usability: UsabilityCriteria {
+                term: self.term,
+                silent_ms: self.options.silent_ms,
+                now,
+            },
         };
-        let plan = plan::plan(basis, &mut self.idle_since, &mut self.waits);
+        let plan = plan::plan(basis, &mut self.idle_since, &mut self.waiting_steps);
         if !plan.runs.is_empty() {
             self.begin_in_flight = true;
-            self.step.commands.push(WorkflowCommand::Begin(plan.runs));
+            self.output.commands.push(WorkflowCommand::Begin(plan.runs));
         }
         self.evict(workflows, &plan.moves, members);
     }
@@ -218,27 +222,31 @@
             WorkflowCommand::Begin(runs) => {
                 self.begin_in_flight = false;
                 let workers: BTreeSet<_> = runs.iter().map(|it| it.worker).collect();
-                self.trials.note_begun(workflows, runs, now);
+                self.probations.note_begun(workflows, runs, now);
                 for it in workers {
-                    self.rooms.note_changed(it);
+                    self.free_capacities.note_changed(it);
                     self.send_orders(workflows, it, members);
                 }
             }
             WorkflowCommand::Enrol(it) => {
                 let replaced = self.sessions.drop_beside(it.node, workflows);
-                replaced.into_iter().for_each(|id| self.rooms.note_changed(id));
+                replaced.into_iter().for_each(|id| self.free_capacities.note_changed(id));
                 if let Some(id) = workflows.workers().find(it.node, &it.name) {
                     tracing::info!(event = "worker_enrolled", worker = %it.name, id = %id, node = %it.node, service = %it.service, kind = %it.kind, rack = %it.rack);
-                    self.sessions.open(id, it.node, now.mono_ms + self.options.held_ms());
-                    self.trials.note_enrolled(id, now);
-                    self.rooms.note_changed(id);
+                    self.sessions.open(
+                        id,
+                        it.node,
+                        now.mono_ms + self.options.lease_with_margin_ms(),
+                    );
+                    self.probations.note_enrolled(id, now);
+                    self.free_capacities.note_changed(id);
                     // Its token lets the node read the lists that everything else waits for.
                     self.send_orders(workflows, id, members);
                 }
                 self.want_plan(PLAN_PAUSE_MS);
             }
             WorkflowCommand::Finish(it) => {
-                self.rooms.note_changed(it.worker);
+                self.free_capacities.note_changed(it.worker);
                 self.settle_failures(workflows, it.worker);
                 self.send_grant(workflows, it.worker, members, now);
                 let ended = it.ends.iter().map(|it| it.run);
@@ -252,16 +260,16 @@
                 self.want_plan(PLAN_PAUSE_MS);
             }
             WorkflowCommand::Void(it) => {
-                self.rooms.note_changed(it.worker);
+                self.free_capacities.note_changed(it.worker);
                 self.want_plan(PLAN_PAUSE_MS);
             }
             WorkflowCommand::Dismiss(id) => {
                 self.sessions.drop(*id);
-                self.rooms.note_changed(*id);
+                self.free_capacities.note_changed(*id);
                 self.want_plan(PLAN_PAUSE_MS);
             }
             WorkflowCommand::Resize(it) => {
-                self.rooms.note_changed(it.worker);
+                self.free_capacities.note_changed(it.worker);
                 self.want_plan(PLAN_PAUSE_MS);
             }
             WorkflowCommand::Settle(it) => {
@@ -297,23 +305,27 @@
         let cores = |millicores| reference_cores(millicores, capacity_millicores);
         let mut serving = Vec::new();
         let mut fillers = Vec::new();
-        session.slow.clear();
+        session.slow_fillers.clear();
         for task in &report.running {
-            let watch = session
-                .watched
-                .entry(task.run)
-                .or_insert_with(|| RunMonitor::new(workflows, &mut self.harm, task, now.mono_ms));
-            watch.last_report_number = session.number;
+            let watch = session.monitored_runs.entry(task.run).or_insert_with(|| {
+                RunMonitor::new(workflows, &mut self.contention, task, now.mono_ms)
+            });
+            watch.last_report_number = session.report_number;
             if watch.observe(task, now.mono_ms) && !watch.evicted {
                 watch.evicted = true;
-                session.soundness.note_stalled(now.mono_ms);
+                session.health.note_stalled(now.mono_ms);
                 tracing::warn!(event = "run_stalled", run = %run_name(task.run), worker = %report.name, progress_percent = task.progress_percent);
             }
             if let Some(share) = watch.speed_share_if_slow(now.mono_ms) {
                 let progress_percent = task.progress_percent;
-                session.slow.push(SlowRun { run: task.run, worker: id, share, progress_percent });
+                session.slow_fillers.push(SlowRun {
+                    run: task.run,
+                    worker: id,
+                    speed_share: share,
+                    progress_percent,
+                });
             }
-            match watch.work {
+            match watch.run_kind {
                 Some(RunKind::Filler { image, .. }) => {
                     fillers.push(FillerLoad { image, cores: cores(task.load) });
                 }
@@ -326,17 +338,17 @@
             }
         }
         for it in &report.faded {
-            let image = self.harm.image(&it.image);
+            let image = self.contention.image(&it.image);
             fillers.push(FillerLoad { image, cores: cores(it.cpu_millicores) });
         }
         if let Some(worker) = workflows.workers().get(id) {
-            session.seen.extend(report.running.iter().map(|it| it.run));
-            session.seen.retain(|it| worker.runs.contains(it));
+            session.ever_listed_runs.extend(report.running.iter().map(|it| it.run));
+            session.ever_listed_runs.retain(|it| worker.runs.contains(it));
         }
-        let number = session.number;
-        session.watched.retain(|_, it| it.last_report_number == number);
+        let number = session.report_number;
+        session.monitored_runs.retain(|_, it| it.last_report_number == number);
         self.sessions.note_slow(id);
-        self.harm.observe(&serving, &fillers, now.mono_ms);
+        self.contention.observe(&serving, &fillers, now.mono_ms);
     }
 
     /// Tells workers to stop fillers that are to go on elsewhere.
@@ -349,7 +361,7 @@
             }
             workers.insert(it.worker);
             let worker = workflows.workers().get(it.worker).map(|it| it.name.as_str());
-            tracing::info!(event = "filler_moved", run = %run_name(it.run), worker, speed_percent = (it.share * 100.0) as u32, progress_percent = it.progress_percent);
+            tracing::info!(event = "filler_moved", run = %run_name(it.run), worker, speed_percent = (it.speed_share * 100.0) as u32, progress_percent = it.progress_percent);
         }
         for it in workers {
             self.send_orders(workflows, it, members);
@@ -359,14 +371,14 @@
     /// Dismisses workers whose lease is over: what ran there has been killed by now.
     fn expire(&mut self, workflows: &Workflows, now: Now) {
         for id in self.sessions.take_expired(now.mono_ms) {
-            self.lose(workflows, id, LossCause::LeaseExpired, now);
+            self.mark_lost(workflows, id, LossCause::LeaseExpired, now);
         }
     }
 }
 
 impl DispatchOptions {
     /// Returns how long a lease granted now may last by the slowest clock allowed.
-    pub fn held_ms(&self) -> u64 {
+    pub fn lease_with_margin_ms(&self) -> u64 {
         self.lease_ms + self.lease_ms * self.lease_slack_percent / 100 + self.lease_margin_ms
     }
 }
--- a/src/control/dispatch/orders.rs
+++ b/src/control/dispatch/orders.rs
@@ -33,7 +33,7 @@
             return self.send_empty_grant(workflows, report.node, report.number, members);
         };
         let Some(id) = workflows.workers().find(report.node, &seen.name) else {
-            match workflows.is_foreign(&seen.service) {
+            match workflows.is_unconfigured_service(&seen.service) {
                 _ if seen.gone => (),
                 true => {
                     tracing::debug!(event = "worker_foreign", worker = %seen.name, node = %report.node, service = %seen.service);
@@ -41,7 +41,9 @@
                 false if self.may_be_lifetime_before(workflows, report.node, &seen.name) => (),
                 false => {
                     self.mark_replaced_lost(workflows, report.node, now);
-                    self.step.commands.push(WorkflowCommand::Enrol(enrolment(report.node, &seen)));
+                    self.output
+                        .commands
+                        .push(WorkflowCommand::Enrol(enrolment(report.node, &seen)));
                 }
             }
             return self.send_empty_grant(workflows, report.node, report.number, members);
@@ -54,9 +56,9 @@
         let before = session.report.as_ref().map(|it| (it.draining, it.term));
         let is_other_node = session.boot != report.boot;
         session.boot = report.boot;
-        session.number = report.number;
-        session.sent_ms = report.sent_ms;
-        session.heard_ms = now.mono_ms;
+        session.report_number = report.number;
+        session.report_sent_ms = report.sent_ms;
+        session.last_report_ms = now.mono_ms;
         if is_other_node {
             session.sent_costs.clear();
         }
@@ -76,7 +78,7 @@
         self.take_refusals(workflows, id);
         if is_gone {
             let loss = if is_leaving { LossCause::Left } else { LossCause::Crashed };
-            return self.lose(workflows, id, loss, now);
+            return self.mark_lost(workflows, id, loss, now);
         }
         // Ends are answered once they are in the ledger, a commit later: one answer in place of
         // two. If that takes long, the next report is answered at once.
@@ -99,7 +101,9 @@
     fn take_capacity(&mut self, workflows: &Workflows, id: WorkerId, capacity: Resources) {
         let Some(worker) = workflows.workers().get(id) else { return };
         if worker.capacity != capacity {
-            self.step.commands.push(WorkflowCommand::Resize(ResizeWorker { worker: id, capacity }));
+            self.output
+                .commands
+                .push(WorkflowCommand::Resize(ResizeWorker { worker: id, capacity }));
         }
     }
 
@@ -114,9 +118,9 @@
         let ends: Vec<_> = fresh.map(|it| it.end.clone()).collect();
         session.proposed_cursor = cursor;
         // Ends from before the worker was given up say nothing of it now.
-        let held = ends.iter().filter(|it| workflows.holds(id, it.run));
+        let held = ends.iter().filter(|it| workflows.has_run(id, it.run));
         held.for_each(|it| judge_worker(session, worker, it, now));
-        self.step.commands.push(WorkflowCommand::Finish(FinishRuns { worker: id, cursor, ends }));
+        self.output.commands.push(WorkflowCommand::Finish(FinishRuns { worker: id, cursor, ends }));
         true
     }
 
@@ -124,7 +128,7 @@
     pub(super) fn settle_failures(&mut self, workflows: &Workflows, id: WorkerId) {
         let Some(report) = self.sessions.get(id).and_then(|it| it.report.as_ref()) else { return };
         let settled = workflows.failures_to_settle(id, report.noted);
-        self.step.commands.extend(settled.map(WorkflowCommand::Settle));
+        self.output.commands.extend(settled.map(WorkflowCommand::Settle));
     }
 
     /// Proposes to take back the runs that the worker will never begin.
@@ -137,7 +141,7 @@
             .map(|it| it.run)
             .collect();
         if !runs.is_empty() {
-            self.step.commands.push(WorkflowCommand::Void(VoidRuns { worker: id, runs }));
+            self.output.commands.push(WorkflowCommand::Void(VoidRuns { worker: id, runs }));
         }
     }
 
@@ -150,7 +154,7 @@
         number: u64,
         members: &[SocketAddr],
     ) {
-        let beside = workflows.workers().beside(node);
+        let beside = workflows.workers().ids_at_node(node);
         let known = beside.into_iter().max().unwrap_or(workflows.workers().last_id());
         let grant = NodeGrant {
             number,
@@ -168,7 +172,7 @@
             costs: Vec::new(),
             members: members.to_vec(),
         };
-        self.step.messages.push((node, Message::NodeGrant(grant)));
+        self.output.messages.push((node, Message::NodeGrant(grant)));
     }
 
     /// Renews a worker's lease, counted from the sending of its newest report, with all orders.
@@ -179,13 +183,13 @@
         members: &[SocketAddr],
         now: Now,
     ) {
-        let held_until_ms = now.mono_ms + self.options.held_ms();
+        let lease_expires_ms = now.mono_ms + self.options.lease_with_margin_ms();
         if let Some(it) = self.sessions.get_mut(id)
             && !it.is_being_dismissed
-            && 0 < it.number
+            && 0 < it.report_number
         {
-            it.held_until_ms = held_until_ms;
-            let sent_ms = it.sent_ms;
+            it.lease_expires_ms = lease_expires_ms;
+            let sent_ms = it.report_sent_ms;
             self.send_orders_with(workflows, id, members, sent_ms);
         }
     }
@@ -214,8 +218,8 @@
         let orders =
             listed.map(|it| orders_for(workflows, id, worker, it, session)).unwrap_or_default();
         let mut grant = NodeGrant {
-            number: session.number,
-            sequence: session.grants + 1,
+            number: session.report_number,
+            sequence: session.grants_sent + 1,
             sent_ms,
             term: self.term,
             token: token(self.term, id),
@@ -231,18 +235,21 @@
         };
         let node = session.node;
         if let Some(it) = self.sessions.get_mut(id) {
-            it.grants += 1;
+            it.grants_sent += 1;
         }
-        let costs = self.rooms.get(workflows, &mut self.harm, id).map(|it| it.costs(&self.harm));
+        let costs = self
+            .free_capacities
+            .get(workflows, &mut self.contention, id)
+            .map(|it| it.costs(&self.contention));
         if let (Some(costs), Some(session)) = (costs, self.sessions.get_mut(id))
-            && (session.told_ms + TOLD_AGAIN_MS <= session.heard_ms
+            && (session.costs_sent_ms + TOLD_AGAIN_MS <= session.last_report_ms
                 || differ(&costs, &session.sent_costs))
         {
             session.sent_costs = costs.clone();
-            session.told_ms = session.heard_ms;
+            session.costs_sent_ms = session.last_report_ms;
             grant.costs = costs;
         }
-        self.step.messages.push((node, Message::NodeGrant(grant)));
+        self.output.messages.push((node, Message::NodeGrant(grant)));
     }
 
     /// Tells the workers of a zone at once that what they have not begun is not to begin.
@@ -277,8 +284,8 @@
 fn judge_worker(session: &mut Session, worker: &Worker, end: &RunEnd, now: Now) {
     let workflow = end.run.task.workflow;
     match end.outcome {
-        RunOutcome::Done => session.soundness.note_done(),
-        RunOutcome::Failed if session.soundness.note_failed(workflow, now.mono_ms) => {
+        RunOutcome::Done => session.health.note_done(),
+        RunOutcome::Failed if session.health.note_failed(workflow, now.mono_ms) => {
             tracing::warn!(event = "worker_shunned", worker = %worker.name, cause = "failures", run = %run_name(end.run));
         }
         _ => (),
@@ -314,7 +321,7 @@
     let may_not_begin = workflows.is_evacuated(id) || !fits(worker.used, worker.capacity);
     let mut res = Vec::new();
     for run in &worker.runs {
-        match session.watched.contains_key(run) {
+        match session.monitored_runs.contains_key(run) {
             _ if workflows.is_redundant(*run) => res.push(RunOrder::Stop(*run)),
             true if session.is_evicted(*run) => res.push(RunOrder::Stop(*run)),
             true if report.roles_missing => {
@@ -325,7 +332,7 @@
             false if ended.contains(run) => (),
             // It ran, and its end was not told: it may run unseen, so that it must be barred before
             // the task begins again.
-            false if session.seen.contains(run) => res.push(RunOrder::Stop(*run)),
+            false if session.ever_listed_runs.contains(run) => res.push(RunOrder::Stop(*run)),
             // Its node bars it from beginning, and then says that it never will.
             false if may_not_begin => res.push(RunOrder::Stop(*run)),
             false => res.extend(start_order(workflows, *run).map(RunOrder::Start)),
--- a/src/control/dispatch/plan/builder.rs
+++ b/src/control/dispatch/plan/builder.rs
@@ -21,16 +21,16 @@
 /// A plan while it is made.
 pub(super) struct PlanBuilder<'a, 'r> {
     workflows: &'a Workflows,
-    rooms: Vec<&'r mut FreeCapacity>,
-    harm: &'a mut ContentionModel,
-    trials: Probations,
+    workers: Vec<&'r mut FreeCapacity>,
+    contention: &'a mut ContentionModel,
+    probations: Probations,
     runs: Vec<RunPlacement>,
     touched: BTreeSet<WorkerId>,
     /// Needs for which no room was left: rooms only shrink while a plan is made, so that whoever
     /// needs as much need not look again. In overload most of what waits is of few kinds.
     unmet: Vec<Unmet>,
     /// Rooms that were asked what they offer.
-    looks: Cell<u64>,
+    rows_visited: Cell<u64>,
 }
 
 /// A need for which no room was left.
@@ -44,16 +44,16 @@
 }
 
 impl Unmet {
-    fn new(asked: &TaskDemand<'_>) -> Unmet {
-        let (filler, filler_millicores) = match asked.work {
+    fn new(demand: &TaskDemand<'_>) -> Unmet {
+        let (filler, filler_millicores) = match demand.run_kind {
             RunKind::Filler { image, millicores } => (Some(image), millicores),
             _ => (None, 0),
         };
         Unmet {
-            service: asked.queue.service.clone(),
-            label: asked.step.required_label.clone(),
+            service: demand.queue.service.clone(),
+            label: demand.step.required_label.clone(),
             filler,
-            reserve: asked.reserve,
+            reserve: demand.reservation,
             filler_millicores,
         }
     }
@@ -73,29 +73,38 @@
 impl<'a, 'r> PlanBuilder<'a, 'r> {
     pub(super) fn new(
         workflows: &'a Workflows,
-        rooms: Vec<&'r mut FreeCapacity>,
-        harm: &'a mut ContentionModel,
-        trials: Probations,
+        workers: Vec<&'r mut FreeCapacity>,
+        contention: &'a mut ContentionModel,
+        probations: Probations,
     ) -> PlanBuilder<'a, 'r> {
         let (runs, touched, unmet) = (Vec::new(), BTreeSet::new(), Vec::new());
-        PlanBuilder { workflows, rooms, harm, trials, runs, touched, unmet, looks: Cell::new(0) }
+        PlanBuilder {
+            workflows,
+            workers,
+            contention,
+            probations,
+            runs,
+            touched,
+            unmet,
+            rows_visited: Cell::new(0),
+        }
     }
 
     pub(super) fn workflows(&self) -> &'a Workflows {
         self.workflows
     }
 
-    pub(super) fn rooms(&self) -> &[&'r mut FreeCapacity] {
-        &self.rooms
+    pub(super) fn workers(&self) -> &[&'r mut FreeCapacity] {
+        &self.workers
     }
 
-    pub(super) fn trials(&self) -> &Probations {
-        &self.trials
+    pub(super) fn probations(&self) -> &Probations {
+        &self.probations
     }
 
     /// Returns how many rooms were asked what they offer.
-    pub(super) fn looks(&self) -> u64 {
-        self.looks.get()
+    pub(super) fn rows_visited(&self) -> u64 {
+        self.rows_visited.get()
     }
 
     pub(super) fn runs(&self) -> &[RunPlacement] {
@@ -112,8 +121,8 @@
         let Some(queue) = self.workflows.queue(&workflow.queue) else { return };
         let Some(step) = workflow.spec.steps.get(at.step as usize) else { return };
         let Some(state) = state_of(workflow, at) else { return };
-        let asked = TaskDemand::new(step, queue, self.harm);
-        let need = Unmet::new(&asked);
+        let demand = TaskDemand::new(step, queue, self.contention);
+        let need = Unmet::new(&demand);
         if care == PlacementMode::ProtectLatency && self.unmet.iter().any(|it| it.rules_out(&need))
         {
             return;
@@ -129,14 +138,14 @@
         match step.gang {
             // Members of an earlier run are still ending.
             true if waiting.len() < state.tasks.len() => (),
-            true => self.place_gang(at, &asked, state, &waiting, care),
+            true => self.place_gang(at, &demand, state, &waiting, care),
             false => {
                 // One that runs is enough not to be idle.
                 let most = if care == PlacementMode::AnyWorker { 1 } else { usize::MAX };
                 let most = most.min(waiting.len());
                 let Parted { tried, free } = self.split(at, &waiting[..most]);
-                self.place_tried(at, &asked, state, &tried, care);
-                let placed = self.place_tasks(at, &asked, state, &free, care);
+                self.place_tried(at, &demand, state, &tried, care);
+                let placed = self.place_tasks(at, &demand, state, &free, care);
                 if placed < free.len()
                     && care == PlacementMode::ProtectLatency
                     && step.per_worker_max == 0
@@ -151,7 +160,7 @@
     fn place_gang(
         &mut self,
         at: StepRef,
-        asked: &TaskDemand<'_>,
+        demand: &TaskDemand<'_>,
         state: &StepState,
         waiting: &[(u32, u32)],
         care: PlacementMode,
@@ -159,24 +168,24 @@
         let run = waiting.iter().map(|(_, run)| *run).max().unwrap_or(1);
         let members: Vec<_> = waiting.iter().map(|(index, _)| (*index, run)).collect();
         let from = self.runs.len();
-        let trials = self.trials.clone();
+        let probations = self.probations.clone();
         let Parted { tried, free } = self.split(at, &members);
-        let is_placed = self.place_tried(at, asked, state, &tried, care) == tried.len()
-            && self.place_tasks(at, asked, state, &free, care) == free.len();
+        let is_placed = self.place_tried(at, demand, state, &tried, care) == tried.len()
+            && self.place_tasks(at, demand, state, &free, care) == free.len();
         if is_placed {
             return;
         }
-        self.trials = trials;
+        self.probations = probations;
         for placed in self.runs.split_off(from) {
-            if let Some(room) = self.rooms.iter_mut().find(|it| it.id == placed.worker) {
-                room.give_back(asked, self.harm);
+            if let Some(room) = self.workers.iter_mut().find(|it| it.id == placed.worker) {
+                room.give_back(demand, self.contention);
             }
         }
     }
 
     /// Returns whether a task need not wait for a calm.
     pub(super) fn may_begin(&self, task: TaskRef) -> bool {
-        self.trials.is_quiet() || !self.workflows.suspects().needs_quiet_period(task)
+        self.probations.is_quiet() || !self.workflows.suspects().needs_quiet_period(task)
     }
 
     /// Parts tasks into those that must be tried and the others.
@@ -194,26 +203,26 @@
     fn place_tried(
         &mut self,
         at: StepRef,
-        asked: &TaskDemand<'_>,
+        demand: &TaskDemand<'_>,
         state: &StepState,
         tasks: &[(u32, u32)],
         care: PlacementMode,
     ) -> usize {
-        let mut counts = counts_of(asked.step, state);
-        let must_wait = self.trials.are_many(self.rooms.len());
+        let mut counts = counts_of(demand.step, state);
+        let must_wait = self.probations.are_many(self.workers.len());
         let mut taken: Vec<usize> = Vec::new();
         for (placed, (index, run)) in tasks.iter().enumerate() {
             let count = |it: WorkerId| counts.get(&it).copied().unwrap_or(0);
             let has_room = |it: &usize| {
-                let room = &self.rooms[*it];
-                room.offer(asked, count(room.id), care, self.harm).is_some()
+                let room = &self.workers[*it];
+                room.offer(demand, count(room.id), care, self.contention).is_some()
             };
             let shared = taken.iter().copied().find(has_room);
-            let fresh = || self.least_to_lose(asked, &counts, care).filter(|_| !must_wait);
+            let fresh = || self.least_to_lose(demand, &counts, care).filter(|_| !must_wait);
             let Some(best) = shared.or_else(fresh) else { return placed };
-            let worker = self.rooms[best].id;
-            self.rooms[best].take(asked, self.harm);
-            self.trials.begin(worker);
+            let worker = self.workers[best].id;
+            self.workers[best].take(demand, self.contention);
+            self.probations.begin(worker);
             taken.push(best);
             self.touched.insert(worker);
             *counts.entry(worker).or_insert(0) += 1;
@@ -227,16 +236,16 @@
     /// there for long.
     fn least_to_lose(
         &self,
-        asked: &TaskDemand<'_>,
+        demand: &TaskDemand<'_>,
         counts: &HashMap<WorkerId, u32>,
         care: PlacementMode,
     ) -> Option<usize> {
         let loss = |it: &usize| {
-            let id = self.rooms[*it].id;
+            let id = self.workers[*it].id;
             let runs = self.workflows.workers().get(id).map(|it| it.runs.len());
-            (self.trials.is_recently_enrolled(id), runs, *it)
+            (self.probations.is_recently_enrolled(id), runs, *it)
         };
-        self.offers(asked, counts, care).into_iter().map(|(_, it)| it).min_by_key(loss)
+        self.offers(demand, counts, care).into_iter().map(|(_, it)| it).min_by_key(loss)
     }
 
     /// Places tasks, each with its run number, until there is no room; returns how many.
@@ -245,23 +254,23 @@
     fn place_tasks(
         &mut self,
         at: StepRef,
-        asked: &TaskDemand<'_>,
+        demand: &TaskDemand<'_>,
         state: &StepState,
         tasks: &[(u32, u32)],
         care: PlacementMode,
     ) -> usize {
-        let mut counts = counts_of(asked.step, state);
-        let mut offers = self.offers(asked, &counts, care);
+        let mut counts = counts_of(demand.step, state);
+        let mut offers = self.offers(demand, &counts, care);
         for (placed, (index, run)) in tasks.iter().enumerate() {
             let Some((_, best)) = offers.pop() else { return placed };
-            let room = &mut self.rooms[best];
-            room.take(asked, self.harm);
+            let room = &mut self.workers[best];
+            room.take(demand, self.contention);
             self.touched.insert(room.id);
             let count = counts.entry(room.id).or_insert(0);
             *count += 1;
             let run = RunRef { task: task_of(at, *index), run: *run };
             self.runs.push(RunPlacement { run, worker: room.id });
-            if let Some(it) = room.offer(asked, *count, care, self.harm) {
+            if let Some(it) = room.offer(demand, *count, care, self.contention) {
                 offers.push((it, best));
             }
         }
@@ -270,19 +279,19 @@
 
     fn offers(
         &self,
-        asked: &TaskDemand<'_>,
+        demand: &TaskDemand<'_>,
         counts: &HashMap<WorkerId, u32>,
         care: PlacementMode,
     ) -> BinaryHeap<(Preference, usize)> {
         let offer = |(at, room): (usize, &&'r mut FreeCapacity)| {
-            if self.trials.contains(room.id) {
+            if self.probations.contains(room.id) {
                 return None;
             }
             let placed = counts.get(&room.id).copied().unwrap_or(0);
-            Some((room.offer(asked, placed, care, self.harm)?, at))
+            Some((room.offer(demand, placed, care, self.contention)?, at))
         };
-        self.looks.set(self.looks.get() + self.rooms.len() as u64);
-        self.rooms.iter().enumerate().filter_map(offer).collect()
+        self.rows_visited.set(self.rows_visited.get() + self.workers.len() as u64);
+        self.workers.iter().enumerate().filter_map(offer).collect()
     }
 
     /// Returns the best worker for one more task of a step, and the speed that it has there.
@@ -294,32 +303,32 @@
         let queue = self.workflows.queue(&workflow.queue)?;
         let state = state_of(workflow, at)?;
         let step = workflow.spec.steps.get(at.step as usize)?;
-        let asked = TaskDemand::new(step, queue, self.harm);
-        let need = Unmet::new(&asked);
+        let demand = TaskDemand::new(step, queue, self.contention);
+        let need = Unmet::new(&demand);
         if self.unmet.iter().any(|it| it.rules_out(&need)) {
             return None;
         }
         let Some((_, room)) =
-            self.offers(&asked, &counts_of(step, state), PlacementMode::ProtectLatency).pop()
+            self.offers(&demand, &counts_of(step, state), PlacementMode::ProtectLatency).pop()
         else {
             if step.per_worker_max == 0 {
                 self.unmet.push(need);
             }
             return None;
         };
-        let speed = match asked.work {
+        let speed = match demand.run_kind {
             RunKind::Filler { image, millicores } => {
-                self.rooms[room].speed_of(image, millicores, self.harm)
+                self.workers[room].speed_of(image, millicores, self.contention)
             }
             _ => 1.0,
         };
-        Some(MoveTarget { room, worker: self.rooms[room].id, speed, asked })
+        Some(MoveTarget { worker_index: room, worker: self.workers[room].id, speed, demand })
     }
 
     /// Keeps what was found for a run that is to move there.
     pub(super) fn keep(&mut self, it: &MoveTarget<'_>) {
-        let room = &mut self.rooms[it.room];
-        room.take(&it.asked, self.harm);
+        let room = &mut self.workers[it.worker_index];
+        room.take(&it.demand, self.contention);
         self.touched.insert(room.id);
     }
 }
@@ -333,10 +342,10 @@
 /// A worker that would take one more task.
 #[derive(Clone, Copy)]
 pub(super) struct MoveTarget<'a> {
-    room: usize,
+    worker_index: usize,
     pub worker: WorkerId,
     pub speed: f64,
-    asked: TaskDemand<'a>,
+    demand: TaskDemand<'a>,
 }
 
 fn task_of(at: StepRef, index: u32) -> TaskRef {
--- a/src/control/dispatch/plan/mod.rs
+++ b/src/control/dispatch/plan/mod.rs
@@ -38,7 +38,7 @@
 /// A step with tasks that could begin.
 struct Candidate<'a> {
     urgency: Urgency,
-    at: StepRef,
+    step_ref: StepRef,
     workflow: &'a Workflow,
 }
 
@@ -66,70 +66,75 @@
 pub(super) struct PlanInput<'a> {
     pub workflows: &'a Workflows,
     pub sessions: &'a Sessions,
-    pub rooms: &'a mut FreeCapacities,
-    pub harm: &'a mut ContentionModel,
+    pub free_capacities: &'a mut FreeCapacities,
+    pub contention: &'a mut ContentionModel,
     /// Workers where nothing may begin, since a task is tried there.
-    pub trials: Probations,
-    pub usable: UsabilityCriteria,
+    pub probations: Probations,
+    pub usability: UsabilityCriteria,
 }
 
 /// Returns the runs to begin now, and those to move.
 pub(super) fn plan(
     basis: PlanInput<'_>,
     idle_since: &mut IdleSince,
-    waits: &mut WaitingSteps,
+    waiting_steps: &mut WaitingSteps,
 ) -> Plan {
-    let PlanInput { workflows, sessions, rooms, harm, trials, usable } = basis;
-    let now = usable.now;
+    let PlanInput { workflows, sessions, free_capacities, contention, probations, usability } =
+        basis;
+    let now = usability.now;
     let candidates = candidates(workflows, now);
-    let slow = sessions.slow_runs(workflows, usable);
+    let slow = sessions.slow_runs(workflows, usability);
     if candidates.is_empty() && slow.is_empty() {
         idle_since.clear();
-        waits.clear();
+        waiting_steps.clear();
         return Plan::default();
     }
-    rooms.refresh(workflows, harm, now);
-    let mut placing =
-        PlanBuilder::new(workflows, rooms.usable(workflows, sessions, usable), harm, trials);
+    free_capacities.refresh(workflows, contention, now);
+    let mut builder = PlanBuilder::new(
+        workflows,
+        free_capacities.usable(workflows, sessions, usability),
+        contention,
+        probations,
+    );
     for it in &candidates {
-        placing.place(it.at, it.workflow, PlacementMode::ProtectLatency);
+        builder.place(it.step_ref, it.workflow, PlacementMode::ProtectLatency);
     }
-    let idle = idle(&candidates, &placing);
-    let ids: HashSet<_> = idle.iter().map(|it| it.at.workflow).collect();
+    let idle = idle(&candidates, &builder);
+    let ids: HashSet<_> = idle.iter().map(|it| it.step_ref.workflow).collect();
     idle_since.retain(|id, _| ids.contains(id));
-    let has_room = has_idle_room(workflows, placing.rooms());
+    let has_room = has_idle_room(workflows, builder.workers());
     for it in idle {
-        let since_ms = *idle_since.entry(it.at.workflow).or_insert(now.mono_ms);
+        let since_ms = *idle_since.entry(it.step_ref.workflow).or_insert(now.mono_ms);
         if has_room && since_ms + IDLE_MAX_MS <= now.mono_ms {
-            placing.place(it.at, it.workflow, PlacementMode::AnyWorker);
+            builder.place(it.step_ref, it.workflow, PlacementMode::AnyWorker);
         }
     }
-    waits.note(&candidates, &placing, now.mono_ms);
-    let moves = moves::moves(&slow, &mut placing);
-    let looks = placing.looks();
-    let (runs, touched) = placing.finish();
-    rooms.note_visited(looks);
-    touched.into_iter().for_each(|it| rooms.note_changed(it));
+    waiting_steps.note(&candidates, &builder, now.mono_ms);
+    let moves = moves::moves(&slow, &mut builder);
+    let rows_visited = builder.rows_visited();
+    let (runs, touched) = builder.finish();
+    free_capacities.note_visited(rows_visited);
+    touched.into_iter().for_each(|it| free_capacities.note_changed(it));
     Plan { runs, moves }
 }
 
 /// Returns the candidates of workflows that run nowhere, nor will by this plan.
 fn idle<'a, 'b>(
     candidates: &'a [Candidate<'b>],
-    placing: &PlanBuilder<'_, '_>,
+    builder: &PlanBuilder<'_, '_>,
 ) -> Vec<&'a Candidate<'b>> {
     // What is placed on a worker that is silent may no longer run.
-    let heard: HashSet<_> = placing.rooms().iter().map(|it| it.id).collect();
-    let placed: HashSet<_> = placing.runs().iter().map(|it| it.run.task.workflow).collect();
+    let heard: HashSet<_> = builder.workers().iter().map(|it| it.id).collect();
+    let placed: HashSet<_> = builder.runs().iter().map(|it| it.run.task.workflow).collect();
     let is_idle = |it: &&Candidate<'_>| {
-        !placed.contains(&it.at.workflow) && !it.workflow.has_run_on_any(&heard)
+        !placed.contains(&it.step_ref.workflow) && !it.workflow.has_run_on_any(&heard)
     };
     candidates.iter().filter(is_idle).collect()
 }
 
 /// Returns whether so little is reserved that nothing may be kept idle.
-fn has_idle_room(workflows: &Workflows, rooms: &[&mut FreeCapacity]) -> bool {
-    let workers = || rooms.iter().filter_map(|it| workflows.workers().get(it.id));
+fn has_idle_room(workflows: &Workflows, free_capacities: &[&mut FreeCapacity]) -> bool {
+    let workers = || free_capacities.iter().filter_map(|it| workflows.workers().get(it.id));
     let used: u64 = workers().map(|it| u64::from(it.used.cpu_millicores)).sum();
     let capacity: u64 = workers().map(|it| u64::from(it.capacity.cpu_millicores)).sum();
     used * 100 <= capacity * IDLE_ROOM_PERCENT
@@ -139,7 +144,7 @@
 fn candidates(workflows: &Workflows, now: Now) -> Vec<Candidate<'_>> {
     let ready = workflows.ready_steps();
     let mut res: Vec<_> = ready.filter_map(|it| candidate(workflows, it, now)).collect();
-    res.sort_by_key(|it| (it.urgency, it.at));
+    res.sort_by_key(|it| (it.urgency, it.step_ref));
     res
 }
 
@@ -162,7 +167,7 @@
         remaining_ms: tails_ms[step],
         work_core_ms: work_core_ms(workflow, occurrence),
     };
-    Some(Candidate { urgency: urgency(claim, now.wall_ms), at, workflow })
+    Some(Candidate { urgency: urgency(claim, now.wall_ms), step_ref: at, workflow })
 }
 
 /// Returns for each step the longest chain of declared run times that begins with it.
--- a/src/control/dispatch/plan/moves.rs
+++ b/src/control/dispatch/plan/moves.rs
@@ -17,14 +17,14 @@
 const MOVES_MAX: usize = 8;
 
 /// Returns the runs to stop, because they would end sooner on workers that have room.
-pub(super) fn moves(slow: &[SlowRun], placing: &mut PlanBuilder<'_, '_>) -> Vec<SlowRun> {
+pub(super) fn moves(slow: &[SlowRun], builder: &mut PlanBuilder<'_, '_>) -> Vec<SlowRun> {
     let mut res = Vec::new();
     let mut best = BestPlaces::new();
     for it in slow {
         if MOVES_MAX <= res.len() {
             break;
         }
-        if moves_one(it, placing, &mut best).is_some() {
+        if moves_one(it, builder, &mut best).is_some() {
             res.push(*it);
         }
     }
@@ -39,24 +39,24 @@
 /// Keeps a better place for a run, if there is one.
 fn moves_one<'a>(
     it: &SlowRun,
-    placing: &mut PlanBuilder<'a, '_>,
+    builder: &mut PlanBuilder<'a, '_>,
     best: &mut BestPlaces<'a>,
 ) -> Option<()> {
-    let workflow = placing.workflows().get(it.run.task.workflow)?;
+    let workflow = builder.workflows().get(it.run.task.workflow)?;
     let step = workflow.spec.steps.get(it.run.task.step as usize)?;
-    let at = StepRef::of(it.run.task);
-    let found = (*best.entry(at).or_insert_with(|| placing.best_for(at, workflow)))?;
+    let at = StepRef::of_task(it.run.task);
+    let found = (*best.entry(at).or_insert_with(|| builder.best_for(at, workflow)))?;
     let movable = MigrationCandidate {
         estimate_ms: step.estimate_ms,
         progress_percent: it.progress_percent,
-        checkpoints: step.checkpoints,
-        current_speed_share: it.share,
+        keeps_progress: step.checkpoints,
+        current_speed_share: it.speed_share,
     };
     let is_better = found.worker != it.worker && is_worth_moving(movable, found.speed);
     if !is_better {
         return None;
     }
-    placing.keep(&found);
+    builder.keep(&found);
     // A place that is taken offers less; all others offer what they did.
     best.retain(|_, it| it.is_none_or(|it| it.worker != found.worker));
     Some(())
--- a/src/control/dispatch/plan/waiting_steps.rs
+++ b/src/control/dispatch/plan/waiting_steps.rs
@@ -42,22 +42,24 @@
     pub(super) fn note(
         &mut self,
         candidates: &[Candidate<'_>],
-        placing: &PlanBuilder<'_, '_>,
+        builder: &PlanBuilder<'_, '_>,
         now_ms: u64,
     ) {
         let lasting = candidates.iter().filter(|it| is_long_running(it));
-        let left: Vec<_> = lasting.filter_map(|it| Some((it, left_by(it, placing)?))).collect();
-        self.steps.retain(|at, _| left.iter().any(|(it, _)| it.at == *at));
+        let left: Vec<_> = lasting.filter_map(|it| Some((it, left_by(it, builder)?))).collect();
+        self.steps.retain(|at, _| left.iter().any(|(it, _)| it.step_ref == *at));
         let mut named = 0;
         for (it, left) in left {
-            let wait =
-                self.steps.entry(it.at).or_insert(Wait { since_ms: now_ms, shown_ms: now_ms });
+            let wait = self
+                .steps
+                .entry(it.step_ref)
+                .or_insert(Wait { since_ms: now_ms, shown_ms: now_ms });
             let is_due = wait.since_ms + SHOWN_AFTER_MS <= now_ms
                 && (wait.shown_ms == wait.since_ms || wait.shown_ms + SHOWN_AGAIN_MS <= now_ms);
             if is_due && named < NAMED_MAX {
                 named += 1;
                 wait.shown_ms = now_ms;
-                left.log(it.at, now_ms - wait.since_ms, placing);
+                left.log(it.step_ref, now_ms - wait.since_ms, builder);
             }
         }
     }
@@ -73,42 +75,42 @@
 }
 
 impl Left {
-    fn log(self, at: StepRef, waited_ms: u64, placing: &PlanBuilder<'_, '_>) {
-        let workers = placing.rooms().len();
+    fn log(self, at: StepRef, waited_ms: u64, builder: &PlanBuilder<'_, '_>) {
+        let workers = builder.workers().len();
         let cause = match self {
             _ if workers == 0 => "no_worker",
             it if it.held == it.tasks => "no_calm",
             it if it.suspects == it.tasks => "trial",
             _ => "no_room",
         };
-        let trials = placing.trials().len();
-        tracing::warn!(event = "tasks_wait", workflow = %format_args!("{:016x}", at.workflow.0), step = at.step, tasks = self.tasks, suspects = self.suspects, waited_ms, workers, trials, cause);
+        let probations = builder.probations().len();
+        tracing::warn!(event = "tasks_wait", workflow = %format_args!("{:016x}", at.workflow.0), step = at.step, tasks = self.tasks, suspects = self.suspects, waited_ms, workers, trials = probations, cause);
     }
 }
 
 fn is_long_running(it: &Candidate<'_>) -> bool {
-    it.workflow.spec.steps.get(it.at.step as usize).is_some_and(|it| it.lasting)
+    it.workflow.spec.steps.get(it.step_ref.step as usize).is_some_and(|it| it.lasting)
 }
 
 /// Returns the tasks of a step that have no run, nor will have by this plan.
-fn left_by(it: &Candidate<'_>, placing: &PlanBuilder<'_, '_>) -> Option<Left> {
-    let occurrence = it.workflow.occurrences.get(it.at.occurrence as usize)?;
-    let state: &StepState = occurrence.steps.get(it.at.step as usize)?;
+fn left_by(it: &Candidate<'_>, builder: &PlanBuilder<'_, '_>) -> Option<Left> {
+    let occurrence = it.workflow.occurrences.get(it.step_ref.occurrence as usize)?;
+    let state: &StepState = occurrence.steps.get(it.step_ref.step as usize)?;
     let is_placed = |index: u32| {
-        let of_step = |run: &RunPlacement| StepRef::of(run.run.task) == it.at;
-        placing.runs().iter().any(|run| of_step(run) && run.run.task.index == index)
+        let of_step = |run: &RunPlacement| StepRef::of_task(run.run.task) == it.step_ref;
+        builder.runs().iter().any(|run| of_step(run) && run.run.task.index == index)
     };
     let waiting =
         state.tasks.iter().zip(0_u32..).filter(|(it, _)| !it.is_done && it.runs.is_empty());
     let waiting: Vec<_> = waiting.map(|(_, index)| index).filter(|it| !is_placed(*it)).collect();
-    let suspects = placing.workflows().suspects();
+    let suspects = builder.workflows().suspects();
     let task = |index: u32| TaskRef {
-        workflow: it.at.workflow,
-        occurrence: it.at.occurrence,
-        step: it.at.step,
+        workflow: it.step_ref.workflow,
+        occurrence: it.step_ref.occurrence,
+        step: it.step_ref.step,
         index,
     };
     let tried = waiting.iter().filter(|it| suspects.needs_probation(task(**it))).count();
-    let held = waiting.iter().filter(|it| !placing.may_begin(task(**it))).count();
+    let held = waiting.iter().filter(|it| !builder.may_begin(task(**it))).count();
     (!waiting.is_empty()).then_some(Left { tasks: waiting.len(), suspects: tried, held })
 }
--- a/src/control/dispatch/requests.rs
+++ b/src/control/dispatch/requests.rs
@@ -17,7 +17,11 @@
 
 impl Dispatcher {
     /// Decides on a request.
-    pub fn decide(workflows: &Workflows, request: WorkflowRequest, now: Now) -> RequestDecision {
+    pub fn decide_request(
+        workflows: &Workflows,
+        request: WorkflowRequest,
+        now: Now,
+    ) -> RequestDecision {
         match request {
             WorkflowRequest::Ping => RequestDecision::Answer(WorkflowOutcome::Pong),
             WorkflowRequest::ReadConfig => RequestDecision::Answer(match workflows.config() {
--- a/src/control/dispatch/run_monitor.rs
+++ b/src/control/dispatch/run_monitor.rs
@@ -22,15 +22,16 @@
 }
 
 impl RunKind {
-    pub(super) fn of(step: &WorkflowStep, harm: &mut ContentionModel) -> RunKind {
+    pub(super) fn of(step: &WorkflowStep, contention: &mut ContentionModel) -> RunKind {
         match step.filler {
             true => RunKind::Filler {
-                image: harm.image(&step.image),
+                image: contention.image(&step.image),
                 millicores: step.need.cpu_millicores,
             },
-            false if 0 < step.tail_target_ms => {
-                RunKind::Serving { image: harm.image(&step.image), target_ms: step.tail_target_ms }
-            }
+            false if 0 < step.tail_target_ms => RunKind::Serving {
+                image: contention.image(&step.image),
+                target_ms: step.tail_target_ms,
+            },
             false => RunKind::Plain,
         }
     }
@@ -40,15 +41,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RunMonitor {
     /// When this leader was first told that the worker runs it.
-    pub since_ms: u64,
+    pub first_listed_ms: u64,
     /// Nothing for a run of no workflow that is known.
-    pub work: Option<RunKind>,
+    pub run_kind: Option<RunKind>,
     /// Its declared run time, where it should make progress: it does not last, has its processor
     /// to itself, and waits for no other member of a gang.
     estimate_ms: Option<u64>,
     /// It is a filler that may go on elsewhere.
     can_move: bool,
-    progress: StallDetector,
+    stall_detector: StallDetector,
     speed: RelativeSpeed,
     /// It stands still, or goes on elsewhere, and is told to stop.
     pub evicted: bool,
@@ -60,18 +61,18 @@
     /// Begins to watch a run with the first report that lists it.
     pub(super) fn new(
         workflows: &Workflows,
-        harm: &mut ContentionModel,
+        contention: &mut ContentionModel,
         task: &RunningTask,
         now_ms: u64,
     ) -> RunMonitor {
         let step = workflows.step_of(task.run.task);
         let can_judge = |it: &&WorkflowStep| !it.lasting && !it.gang;
         RunMonitor {
-            since_ms: now_ms,
-            work: step.map(|it| RunKind::of(it, harm)),
+            first_listed_ms: now_ms,
+            run_kind: step.map(|it| RunKind::of(it, contention)),
             estimate_ms: step.filter(can_judge).filter(|it| !it.filler).map(|it| it.estimate_ms),
             can_move: step.filter(can_judge).is_some_and(|it| it.filler),
-            progress: StallDetector::new(task.progress_percent, now_ms),
+            stall_detector: StallDetector::new(task.progress_percent, now_ms),
             speed: RelativeSpeed::new(now_ms),
             evicted: false,
             last_report_number: 0,
@@ -80,11 +81,11 @@
 
     /// Takes in a row of a report; returns whether the run stands still.
     pub(super) fn observe(&mut self, task: &RunningTask, now_ms: u64) -> bool {
-        if let (true, Some(RunKind::Filler { millicores, .. })) = (self.can_move, self.work) {
+        if let (true, Some(RunKind::Filler { millicores, .. })) = (self.can_move, self.run_kind) {
             self.speed.observe(f64::from(task.load) / f64::from(millicores.max(1)));
         }
         let estimate_ms = self.estimate_ms;
-        estimate_ms.is_some_and(|it| self.progress.observe(task.progress_percent, it, now_ms))
+        estimate_ms.is_some_and(|it| self.stall_detector.observe(task.progress_percent, it, now_ms))
     }
 
     /// Returns the share of its speed that a filler has, once that is known to be low.
--- a/src/control/dispatch/sessions.rs
+++ b/src/control/dispatch/sessions.rs
@@ -17,25 +17,25 @@
 pub struct Session {
     pub node: SocketAddr,
     /// No run placed on the worker outlives this, whatever the node does.
-    pub held_until_ms: u64,
-    pub heard_ms: u64,
+    pub lease_expires_ms: u64,
+    pub last_report_ms: u64,
     /// Number and clock of the node's newest report, and the run of the node that sent it.
     pub boot: u64,
-    pub number: u64,
-    pub sent_ms: u64,
+    pub report_number: u64,
+    pub report_sent_ms: u64,
     pub report: Option<WorkerReport>,
-    pub soundness: WorkerHealth,
+    pub health: WorkerHealth,
     /// The runs that the newest report lists.
-    pub watched: HashMap<RunRef, RunMonitor>,
+    pub monitored_runs: HashMap<RunRef, RunMonitor>,
     /// The runs held there that a report has listed as running so far.
-    pub seen: HashSet<RunRef>,
+    pub ever_listed_runs: HashSet<RunRef>,
     /// Those that the newest report lists, and that are fillers and slow.
-    pub slow: Vec<SlowRun>,
+    pub slow_fillers: Vec<SlowRun>,
     /// Costs that the node was last told, and when.
     pub sent_costs: Vec<ImageCost>,
-    pub told_ms: u64,
+    pub costs_sent_ms: u64,
     /// How many grants were sent.
-    pub grants: u64,
+    pub grants_sent: u64,
     /// Highest end proposed for the ledger.
     pub proposed_cursor: u64,
     /// A dismissal was proposed.
@@ -48,7 +48,7 @@
     pub run: RunRef,
     pub worker: WorkerId,
     /// Share of its full speed.
-    pub share: f64,
+    pub speed_share: f64,
     pub progress_percent: u32,
 }
 
@@ -65,34 +65,34 @@
     /// looked at once a lease, and not at each event.
     expiry_bound_ms: u64,
     /// How many sessions were looked at so far in walks over all of them.
-    looks: Cell<u64>,
+    rows_visited: Cell<u64>,
 }
 
 impl Sessions {
-    pub(super) fn take_over(workflows: &Workflows, held_until_ms: u64) -> Sessions {
+    pub(super) fn take_over(workflows: &Workflows, lease_expires_ms: u64) -> Sessions {
         let mut res = Sessions::default();
         for (id, worker) in workflows.workers().iter() {
-            res.open(id, worker.node, held_until_ms);
+            res.open(id, worker.node, lease_expires_ms);
         }
         res
     }
 
-    pub(super) fn open(&mut self, id: WorkerId, node: SocketAddr, held_until_ms: u64) {
+    pub(super) fn open(&mut self, id: WorkerId, node: SocketAddr, lease_expires_ms: u64) {
         let session = Session {
             node,
-            held_until_ms,
-            heard_ms: 0,
+            lease_expires_ms,
+            last_report_ms: 0,
             boot: 0,
-            number: 0,
-            sent_ms: 0,
+            report_number: 0,
+            report_sent_ms: 0,
             report: None,
-            soundness: WorkerHealth::default(),
-            watched: HashMap::new(),
-            seen: HashSet::new(),
-            slow: Vec::new(),
+            health: WorkerHealth::default(),
+            monitored_runs: HashMap::new(),
+            ever_listed_runs: HashSet::new(),
+            slow_fillers: Vec::new(),
             sent_costs: Vec::new(),
-            told_ms: 0,
-            grants: 0,
+            costs_sent_ms: 0,
+            grants_sent: 0,
             proposed_cursor: 0,
             is_being_dismissed: false,
         };
@@ -101,8 +101,8 @@
             self.by_node.entry(node).or_default().push(id);
         }
         self.expiry_bound_ms = match self.sessions.len() {
-            1 => held_until_ms,
-            _ => self.expiry_bound_ms.min(held_until_ms),
+            1 => lease_expires_ms,
+            _ => self.expiry_bound_ms.min(lease_expires_ms),
         };
     }
 
@@ -128,12 +128,12 @@
     }
 
     /// Returns how many sessions were looked at so far in walks over all of them.
-    pub(super) fn looks(&self) -> u64 {
-        self.looks.get()
+    pub(super) fn rows_visited(&self) -> u64 {
+        self.rows_visited.get()
     }
 
     fn note_walk(&self) {
-        self.looks.set(self.looks.get() + self.sessions.len() as u64);
+        self.rows_visited.set(self.rows_visited.get() + self.sessions.len() as u64);
     }
 
     /// Drops a session.
@@ -159,7 +159,7 @@
 
     /// Notes whether a worker has fillers that are slow.
     pub(super) fn note_slow(&mut self, id: WorkerId) {
-        match self.get(id).is_some_and(|it| !it.slow.is_empty()) {
+        match self.get(id).is_some_and(|it| !it.slow_fillers.is_empty()) {
             true => self.with_slow.insert(id),
             false => self.with_slow.remove(&id),
         };
@@ -178,12 +178,12 @@
         let mut res = Vec::new();
         self.expiry_bound_ms = u64::MAX;
         for (id, it) in self.sessions.iter_mut().filter(|(_, it)| !it.is_being_dismissed) {
-            match it.held_until_ms <= now_ms {
+            match it.lease_expires_ms <= now_ms {
                 true => {
                     it.is_being_dismissed = true;
                     res.push(*id);
                 }
-                false => self.expiry_bound_ms = self.expiry_bound_ms.min(it.held_until_ms),
+                false => self.expiry_bound_ms = self.expiry_bound_ms.min(it.lease_expires_ms),
             }
         }
         res
@@ -197,19 +197,19 @@
         is_usable: UsabilityCriteria,
     ) -> Vec<SlowRun> {
         let with_slow = self.with_slow.iter().filter_map(|id| Some((id, self.get(*id)?)));
-        let usable = with_slow.filter(|(_, it)| it.is_usable(is_usable));
+        let usability = with_slow.filter(|(_, it)| it.is_usable(is_usable));
         let placed = |it: &SlowRun| {
             let worker = workflows.workers().get(it.worker);
             worker.is_some_and(|worker| worker.runs.contains(&it.run))
         };
-        let mut res: Vec<_> = usable.flat_map(|(_, it)| it.slow_now()).filter(placed).collect();
-        res.sort_by(|a, b| a.share.total_cmp(&b.share));
+        let mut res: Vec<_> = usability.flat_map(|(_, it)| it.slow_now()).filter(placed).collect();
+        res.sort_by(|a, b| a.speed_share.total_cmp(&b.speed_share));
         res
     }
 
     /// Returns whether new runs may be placed on a worker.
-    pub(super) fn is_usable(&self, id: WorkerId, usable: UsabilityCriteria) -> bool {
-        self.get(id).is_some_and(|it| it.is_usable(usable))
+    pub(super) fn is_usable(&self, id: WorkerId, usability: UsabilityCriteria) -> bool {
+        self.get(id).is_some_and(|it| it.is_usable(usability))
     }
 }
 
@@ -268,23 +268,23 @@
         let reports = |report: &WorkerReport| report.term == it.term && !report.draining;
         self.report.as_ref().is_some_and(reports)
             && !self.is_being_dismissed
-            && self.soundness.is_healthy(it.now.mono_ms)
-            && it.now.mono_ms < self.heard_ms + it.silent_ms
+            && self.health.is_healthy(it.now.mono_ms)
+            && it.now.mono_ms < self.last_report_ms + it.silent_ms
     }
 
     fn slow_now(&self) -> impl Iterator<Item = SlowRun> {
-        let is_told = |run: RunRef| self.watched.get(&run).is_none_or(|it| it.evicted);
-        self.slow.iter().copied().filter(move |it| !is_told(it.run))
+        let is_told = |run: RunRef| self.monitored_runs.get(&run).is_none_or(|it| it.evicted);
+        self.slow_fillers.iter().copied().filter(move |it| !is_told(it.run))
     }
 
     /// Marks a run that the worker is told to stop; returns whether it was not marked before.
     pub(super) fn evict(&mut self, run: RunRef) -> bool {
-        let watch = self.watched.get_mut(&run);
+        let watch = self.monitored_runs.get_mut(&run);
         watch.is_some_and(|it| !std::mem::replace(&mut it.evicted, true))
     }
 
     /// Returns whether a run that is listed is told to stop.
     pub(super) fn is_evicted(&self, run: RunRef) -> bool {
-        self.watched.get(&run).is_some_and(|it| it.evicted)
+        self.monitored_runs.get(&run).is_some_and(|it| it.evicted)
     }
 }
--- a/src/control/leader_finder.rs
+++ b/src/control/leader_finder.rs
@@ -7,7 +7,7 @@
 pub struct LeaderFinder {
     /// From the settings; never forgotten, since all that was learned may be gone.
     seeds: Vec<SocketAddr>,
-    controls: Vec<SocketAddr>,
+    control_addresses: Vec<SocketAddr>,
     target: usize,
     leader: Option<SocketAddr>,
 }
@@ -17,7 +17,7 @@
     pub fn new(seeds: Vec<SocketAddr>, choice: u64) -> LeaderFinder {
         LeaderFinder {
             target: choice as usize % seeds.len().max(1),
-            controls: seeds.clone(),
+            control_addresses: seeds.clone(),
             seeds,
             leader: None,
         }
@@ -25,7 +25,7 @@
 
     /// Returns the process that is thought to lead, or the next one to try.
     pub fn target(&self) -> Option<SocketAddr> {
-        self.leader.or_else(|| self.controls.get(self.target).copied())
+        self.leader.or_else(|| self.control_addresses.get(self.target).copied())
     }
 
     /// Returns the process that is thought to lead.
@@ -48,23 +48,23 @@
         }
         let seeds = self.seeds.iter().filter(|it| !members.contains(it));
         let controls: Vec<_> = members.iter().chain(seeds).copied().collect();
-        if controls != self.controls {
-            self.controls = controls;
-            self.target %= self.controls.len();
+        if controls != self.control_addresses {
+            self.control_addresses = controls;
+            self.target %= self.control_addresses.len();
         }
     }
 
     /// Takes other seeds from changed settings.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         let fresh: Vec<_> =
-            seeds.iter().filter(|it| !self.controls.contains(it)).copied().collect();
-        self.controls.extend(fresh);
+            seeds.iter().filter(|it| !self.control_addresses.contains(it)).copied().collect();
+        self.control_addresses.extend(fresh);
         self.seeds = seeds;
     }
 
     /// Turns to the next process, since the current one is silent or does not lead.
     pub fn try_next(&mut self) {
         self.leader = None;
-        self.target = (self.target + 1) % self.controls.len().max(1);
+        self.target = (self.target + 1) % self.control_addresses.len().max(1);
     }
 }
--- a/src/control/log/disk.rs
+++ b/src/control/log/disk.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Identity {
     pub member: MemberId,
-    pub place: Place,
+    pub group_id: Place,
     /// The founding members; empty for one that joins a running group.
     pub founders: Vec<Member>,
 }
@@ -57,8 +57,8 @@
     size_bytes: u64,
     durable_bytes: u64,
     /// Writes of the newest call that are durable though it failed.
-    written: usize,
-    hard: HardState,
+    durable_write_count: usize,
+    hard_state: HardState,
     free_min_bytes: u64,
     _lock: DiskLock,
 }
@@ -83,8 +83,8 @@
         file.with_section(Some("identity"))
             .set("format", FORMAT.to_string())
             .set("member", self.member.0.to_string())
-            .set("region", self.place.region.to_string())
-            .set("group", self.place.group.to_string())
+            .set("region", self.group_id.region.to_string())
+            .set("group", self.group_id.group.to_string())
             .set("founders", founders.join(","));
         let mut text = Vec::new();
         file.write_to(&mut text).change_context_lazy(|| cannot("write", &path))?;
@@ -101,7 +101,7 @@
     /// Returns an error when the folder cannot be read or written.
     pub fn read_or_make(
         folder: &Path,
-        place: Place,
+        group_id: Place,
         own: std::net::SocketAddr,
         founders: &[std::net::SocketAddr],
     ) -> Result<Identity> {
@@ -112,11 +112,11 @@
         let identity = match founders.contains(&own) {
             true => {
                 let founders = founders.iter().map(founder).collect();
-                Identity { member: founder_id(own), place, founders }
+                Identity { member: founder_id(own), group_id, founders }
             }
             false => {
                 let member = MemberId(fastrand::u64(JOINER_IDS));
-                Identity { member, place, founders: Vec::new() }
+                Identity { member, group_id, founders: Vec::new() }
             }
         };
         identity.create(folder)?;
@@ -155,8 +155,8 @@
             let address = address.parse().map_err(|_| bad_identity(&path, "founders", it))?;
             founders.push(Member { id: MemberId(id), address });
         }
-        let place = Place { region: number("region")? as u8, group: number("group")? as u8 };
-        Ok(Identity { member: MemberId(number("member")?), place, founders })
+        let group_id = Place { region: number("region")? as u8, group: number("group")? as u8 };
+        Ok(Identity { member: MemberId(number("member")?), group_id, founders })
     }
 }
 
@@ -218,15 +218,15 @@
             .and_then(|()| file.sync_all())
             .change_context_lazy(|| cannot("sync", &path))?;
         sync_folder(folder)?;
-        let hard = recovered.hard;
+        let hard = recovered.hard_state;
         let disk = Disk {
             folder: folder.to_owned(),
             file,
             path,
             size_bytes,
             durable_bytes: size_bytes,
-            written: 0,
-            hard,
+            durable_write_count: 0,
+            hard_state: hard,
             free_min_bytes,
             _lock: lock,
         };
@@ -241,12 +241,12 @@
     /// unknown (a second sync may report success for pages that were dropped): nothing may be written
     /// but by [`Disk::retry_write`].
     pub fn write(&mut self, writes: &[DiskWrite]) -> Result<()> {
-        self.written = 0;
+        self.durable_write_count = 0;
         let mut buffer = Vec::new();
         for (at, it) in writes.iter().enumerate() {
             match it {
                 DiskWrite::HardState(hard) => {
-                    self.hard = *hard;
+                    self.hard_state = *hard;
                     record::encode(&Record::HardState(*hard), self.durable_bytes, &mut buffer)?;
                 }
                 DiskWrite::Append(entries) => {
@@ -267,13 +267,13 @@
                     self.append(&buffer)?;
                     buffer.clear();
                     self.begin_at(snapshot)?;
-                    self.written = at + 1;
+                    self.durable_write_count = at + 1;
                 }
             }
         }
         self.append(&buffer)?;
         self.sync()?;
-        self.written = 0;
+        self.durable_write_count = 0;
         Ok(())
     }
 
@@ -285,7 +285,7 @@
     ///
     /// As [`Disk::write`].
     pub fn retry_write(&mut self, writes: &[DiskWrite]) -> Result<()> {
-        self.written = 0;
+        self.durable_write_count = 0;
         let reopen = || OpenOptions::new().append(true).open(&self.path);
         self.file = reopen().change_context_lazy(|| cannot("open", &self.path))?;
         let cut = self.file.set_len(self.durable_bytes);
@@ -296,8 +296,8 @@
 
     /// Returns how many writes of a call that failed are durable all the same: all before a log that
     /// was begun anew.
-    pub fn written(&self) -> usize {
-        self.written
+    pub fn durable_write_count(&self) -> usize {
+        self.durable_write_count
     }
 
     /// Notes that all before is durable, so that damage to it is never taken for a torn tail.
@@ -305,7 +305,7 @@
     /// # Errors
     ///
     /// As [`Disk::write`].
-    pub fn mark(&mut self) -> Result<()> {
+    pub fn write_durability_mark(&mut self) -> Result<()> {
         let mut buffer = Vec::new();
         record::encode(&Record::Mark, self.durable_bytes, &mut buffer)?;
         self.append(&buffer)?;
@@ -343,7 +343,7 @@
         replace_file(&self.folder, &format!("snapshot-{index}"), &data)?;
 
         let mut start = Vec::new();
-        record::encode(&Record::HardState(self.hard), 0, &mut start)?;
+        record::encode(&Record::HardState(self.hard_state), 0, &mut start)?;
         let name = format!("log-{index}");
         replace_file(&self.folder, &name, &start)?;
         let path = self.folder.join(name);
--- a/src/control/log/progress.rs
+++ b/src/control/log/progress.rs
@@ -8,7 +8,7 @@
     /// The leader's clock at the sending of the newest message that the member answered.
     pub acked_sent_ms: u64,
     /// The leader's clock at the newest answer.
-    pub heard_ms: u64,
+    pub last_reply_ms: u64,
     /// The same when it began to look after this member.
     pub known_ms: u64,
     /// The same when it last began to send entries again that the member turned out to miss.
@@ -26,7 +26,7 @@
             match_index: 0,
             next_index,
             acked_sent_ms: 0,
-            heard_ms: 0,
+            last_reply_ms: 0,
             known_ms: now_ms,
             resent_ms: 0,
             snapshot_offset_bytes: None,
@@ -37,7 +37,7 @@
 
     /// Returns for how long the member has not answered.
     pub(super) fn silent_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.heard_ms.max(self.known_ms))
+        now_ms.saturating_sub(self.last_reply_ms.max(self.known_ms))
     }
 
     pub(super) fn acknowledge(&mut self, match_index: u64) {
--- a/src/control/log/raft/election.rs
+++ b/src/control/log/raft/election.rs
@@ -43,11 +43,11 @@
             // Another leader, another clock.
             self.first_sent_ms = None;
         }
-        if self.hard.term < term {
+        if self.hard_state.term < term {
             self.set_hard(HardState { term, vote: None });
         }
         if self.role == Role::Leader || self.leader != leader {
-            self.incoming = None;
+            self.incoming_snapshot = None;
         }
         self.role = Role::Follower;
         self.leader = leader;
@@ -61,7 +61,7 @@
         self.reset_election(now);
         self.leader = None;
         self.votes = BTreeSet::from([self.id]);
-        let term = self.hard.term + 1;
+        let term = self.hard_state.term + 1;
         if pre_vote {
             self.role = Role::PreCandidate;
         } else {
@@ -107,61 +107,64 @@
             // Once this was sent another may lead at any moment, so the lease never comes back
             // in this term; a leader whose offer got lost steps down instead.
             self.transfer_sent = true;
-            self.send_now(to, RaftBody::TimeoutNow(TimeoutNow { term: self.hard.term }));
+            self.send_now(to, RaftBody::TimeoutNow(TimeoutNow { term: self.hard_state.term }));
         }
     }
 
     pub(super) fn on_vote(&mut self, now: Now, from: MemberId, it: VoteRequest) {
         let barred = now.mono_ms < self.vote_blocked_until_ms && !it.transfer;
         let leads = self.is_leader() && !it.transfer;
-        if barred || leads || it.term < self.hard.term {
-            let reply = VoteReply { term: self.hard.term, granted: false, pre_vote: it.pre_vote };
+        if barred || leads || it.term < self.hard_state.term {
+            let reply =
+                VoteReply { term: self.hard_state.term, granted: false, pre_vote: it.pre_vote };
             return self.send_durable(from, RaftBody::VoteReply(reply));
         }
         let last_index = self.last_index();
         let own = (self.term_at(last_index).unwrap_or(0), last_index);
         let up_to_date = own <= (it.last_term, it.last_index);
         if it.pre_vote {
-            let granted = up_to_date && self.hard.term < it.term;
+            let granted = up_to_date && self.hard_state.term < it.term;
             // A denial carries this member's own term: the asked one was never begun.
-            let term = if granted { it.term } else { self.hard.term };
+            let term = if granted { it.term } else { self.hard_state.term };
             let reply = VoteReply { term, granted, pre_vote: true };
             return self.send_durable(from, RaftBody::VoteReply(reply));
         }
-        if self.hard.term < it.term {
+        if self.hard_state.term < it.term {
             self.follow(now, it.term, None);
         }
-        let free = self.hard.vote.is_none() || self.hard.vote == Some(from);
+        let free = self.hard_state.vote.is_none() || self.hard_state.vote == Some(from);
         let granted = up_to_date && free && self.role == Role::Follower;
         if granted {
             self.set_hard(HardState { term: it.term, vote: Some(from) });
             self.reset_election(now);
         }
-        let reply = VoteReply { term: self.hard.term, granted, pre_vote: false };
+        let reply = VoteReply { term: self.hard_state.term, granted, pre_vote: false };
         self.send_durable(from, RaftBody::VoteReply(reply));
     }
 
     pub(super) fn on_vote_reply(&mut self, now: Now, from: MemberId, it: VoteReply) {
         match self.role {
-            Role::PreCandidate if it.pre_vote && it.granted && it.term == self.hard.term + 1 => {
+            Role::PreCandidate
+                if it.pre_vote && it.granted && it.term == self.hard_state.term + 1 =>
+            {
                 self.votes.insert(from);
                 if self.has_quorum() {
                     self.stand(now, false, false);
                 }
             }
-            Role::Candidate if !it.pre_vote && it.granted && it.term == self.hard.term => {
+            Role::Candidate if !it.pre_vote && it.granted && it.term == self.hard_state.term => {
                 self.votes.insert(from);
                 if self.has_quorum() {
                     self.lead(now);
                 }
             }
-            _ if !it.granted && self.hard.term < it.term => self.follow(now, it.term, None),
+            _ if !it.granted && self.hard_state.term < it.term => self.follow(now, it.term, None),
             _ => (),
         }
     }
 
     pub(super) fn accept_leader(&mut self, now: Now, from: MemberId, term: u64) {
-        if self.hard.term < term || self.role != Role::Follower || self.leader != Some(from) {
+        if self.hard_state.term < term || self.role != Role::Follower || self.leader != Some(from) {
             self.follow(now, term, Some(from));
         }
         self.reset_election(now);
--- a/src/control/log/raft/membership.rs
+++ b/src/control/log/raft/membership.rs
@@ -33,7 +33,8 @@
         }
         let (changed_at, current) =
             self.memberships.back().cloned().expect("a membership is always known");
-        if self.commit_index < changed_at || self.term_at(self.commit_index) != Some(self.hard.term)
+        if self.commit_index < changed_at
+            || self.term_at(self.commit_index) != Some(self.hard_state.term)
         {
             return Err(ProposeError::MembershipBusy);
         }
@@ -104,7 +105,7 @@
     }
 
     pub(super) fn has_replied_recently(&self, it: &Progress, now: Now) -> bool {
-        now.mono_ms < it.heard_ms + self.options.election_timeout_ms
+        now.mono_ms < it.last_reply_ms + self.options.election_timeout_ms
     }
 
     /// Returns the sending time of the newest message that a majority has answered.
--- a/src/control/log/raft/mod.rs
+++ b/src/control/log/raft/mod.rs
@@ -64,7 +64,7 @@
     options: RaftOptions,
     random: fastrand::Rng,
 
-    hard: HardState,
+    hard_state: HardState,
     role: Role,
     leader: Option<MemberId>,
     /// Entries behind the snapshot point, oldest first.
@@ -77,14 +77,14 @@
     snapshot: Option<Arc<Snapshot>>,
     commit_index: u64,
     applied_index: u64,
-    install: VecDeque<Arc<Snapshot>>,
+    snapshots_to_install: VecDeque<Arc<Snapshot>>,
 
     /// Memberships found in the log, newest last; the newest is in force, committed or not.
     memberships: VecDeque<(u64, Membership)>,
     progress: BTreeMap<MemberId, Progress>,
     votes: BTreeSet<MemberId>,
     /// Chunks of a snapshot under way to this member.
-    incoming: Option<(SnapshotChunk, Vec<u8>)>,
+    incoming_snapshot: Option<(SnapshotChunk, Vec<u8>)>,
 
     election_at_ms: u64,
     heartbeat_at_ms: u64,
@@ -132,7 +132,7 @@
             id,
             options,
             random: fastrand::Rng::with_seed(options.seed ^ id.0),
-            hard: recovered.hard,
+            hard_state: recovered.hard_state,
             role: Role::Follower,
             leader: None,
             entries_bytes: recovered.entries.iter().map(weight_bytes).sum(),
@@ -141,12 +141,12 @@
             base_term,
             commit_index: base_index,
             applied_index: 0,
-            install: snapshot.iter().cloned().collect(),
+            snapshots_to_install: snapshot.iter().cloned().collect(),
             snapshot,
             memberships,
             progress: BTreeMap::new(),
             votes: BTreeSet::new(),
-            incoming: None,
+            incoming_snapshot: None,
             election_at_ms: 0,
             heartbeat_at_ms: 0,
             // What this member promised before its restart is not known: it may have heard the
@@ -186,7 +186,7 @@
     }
 
     pub fn term(&self) -> u64 {
-        self.hard.term
+        self.hard_state.term
     }
 
     pub fn leader(&self) -> Option<MemberId> {
@@ -234,7 +234,7 @@
         // A tenth is left for clocks that run at different speeds.
         let lease_ms = self.options.election_timeout_ms * 9 / 10;
         now.mono_ms < self.quorum_acked_ms(now) + lease_ms
-            && self.term_at(self.applied_index) == Some(self.hard.term)
+            && self.term_at(self.applied_index) == Some(self.hard_state.term)
     }
 
     /// Returns whether everything that was committed when this member started is applied here.
@@ -268,7 +268,9 @@
     /// Lets time pass.
     pub fn tick(&mut self, now: Now) {
         match self.role {
-            Role::Leader if self.must_step_down(now) => self.follow(now, self.hard.term, None),
+            Role::Leader if self.must_step_down(now) => {
+                self.follow(now, self.hard_state.term, None)
+            }
             Role::Leader if self.heartbeat_at_ms <= now.mono_ms => self.broadcast(now),
             Role::Leader => (),
             _ if self.election_at_ms <= now.mono_ms && self.is_voter(self.id) => {
@@ -293,8 +295,12 @@
         }
         let index = self.last_index() + 1;
         let last_time_ms = self.entries.back().map_or(0, |it| it.time_ms);
-        let entry =
-            LogEntry { index, term: self.hard.term, time_ms: now.wall_ms.max(last_time_ms), body };
+        let entry = LogEntry {
+            index,
+            term: self.hard_state.term,
+            time_ms: now.wall_ms.max(last_time_ms),
+            body,
+        };
         self.append(Arc::new(entry));
         Ok(index)
     }
@@ -326,7 +332,9 @@
             RaftBody::AppendReply(it) => self.on_append_reply(now, from, it),
             RaftBody::Snapshot(it) => self.on_chunk(now, from, it),
             RaftBody::SnapshotReply(it) => self.on_chunk_reply(now, from, it),
-            RaftBody::TimeoutNow(it) if it.term == self.hard.term && self.is_voter(self.id) => {
+            RaftBody::TimeoutNow(it)
+                if it.term == self.hard_state.term && self.is_voter(self.id) =>
+            {
                 self.stand(now, false, true)
             }
             RaftBody::TimeoutNow(_) => (),
@@ -351,7 +359,7 @@
     }
 
     /// Learns that all writes up to `number` are durable.
-    pub fn persisted(&mut self, now: Now, number: u64) {
+    pub fn on_persisted(&mut self, now: Now, number: u64) {
         self.durable = self.durable.max(number);
         while let Some(&(it, last_index)) = self.in_flight.front()
             && it <= number
@@ -382,8 +390,8 @@
     /// Takes what the state machine is to apply next, in order.
     pub fn take_committed(&mut self) -> Vec<Committed> {
         let mut res = Vec::new();
-        if let Some(it) = self.install.pop_back() {
-            self.install.clear();
+        if let Some(it) = self.snapshots_to_install.pop_back() {
+            self.snapshots_to_install.clear();
             self.applied_index = it.index;
             res.push(Committed::Snapshot(it));
         }
@@ -393,7 +401,8 @@
             res.push(Committed::Entry(it));
         }
         let reached = self.catch_up_index.is_some_and(|it| it <= self.applied_index);
-        let leads = self.is_leader() && self.term_at(self.applied_index) == Some(self.hard.term);
+        let leads =
+            self.is_leader() && self.term_at(self.applied_index) == Some(self.hard_state.term);
         self.caught_up |= reached || leads;
         res
     }
@@ -414,8 +423,8 @@
     }
 
     fn set_hard(&mut self, hard: HardState) {
-        if self.hard != hard {
-            self.hard = hard;
+        if self.hard_state != hard {
+            self.hard_state = hard;
             self.pending.push(DiskWrite::HardState(hard));
         }
     }
--- a/src/control/log/raft/replication.rs
+++ b/src/control/log/raft/replication.rs
@@ -97,7 +97,7 @@
             it.next_index += entries.len() as u64;
         }
         let request = AppendRequest {
-            term: self.hard.term,
+            term: self.hard_state.term,
             previous_index,
             previous_term,
             commit_index: self.commit_index,
@@ -116,13 +116,13 @@
             Some(it) => it.match_index,
             None => 0,
         });
-        if self.commit_index < reached && self.term_at(reached) == Some(self.hard.term) {
+        if self.commit_index < reached && self.term_at(reached) == Some(self.hard_state.term) {
             self.commit_index = reached;
         }
     }
 
     pub(super) fn on_append(&mut self, now: Now, from: MemberId, it: AppendRequest) {
-        if it.term < self.hard.term {
+        if it.term < self.hard_state.term {
             let reply = self.append_reply(false, 0, it.sent_ms);
             return self.send_durable(from, reply);
         }
@@ -174,7 +174,7 @@
 
     pub(super) fn append_reply(&self, matched: bool, match_index: u64, sent_ms: u64) -> RaftBody {
         RaftBody::AppendReply(AppendReply {
-            term: self.hard.term,
+            term: self.hard_state.term,
             matched,
             match_index,
             sent_ms,
@@ -183,16 +183,16 @@
     }
 
     pub(super) fn on_append_reply(&mut self, now: Now, from: MemberId, it: AppendReply) {
-        if self.hard.term < it.term {
+        if self.hard_state.term < it.term {
             return self.follow(now, it.term, None);
         }
-        if !self.is_leader() || it.term < self.hard.term {
+        if !self.is_leader() || it.term < self.hard_state.term {
             return;
         }
         let last_index = self.last_index();
         let Some(progress) = self.progress.get_mut(&from) else { return };
         progress.acked_sent_ms = progress.acked_sent_ms.max(it.sent_ms);
-        progress.heard_ms = now.mono_ms;
+        progress.last_reply_ms = now.mono_ms;
         progress.in_force = it.in_force.0;
         if it.matched {
             progress.acknowledge(it.match_index.min(last_index));
--- a/src/control/log/raft/snapshots.rs
+++ b/src/control/log/raft/snapshots.rs
@@ -53,7 +53,7 @@
         it.chunk_sent_ms = now.mono_ms;
         let end = (offset + chunk_bytes).min(snapshot.data.len());
         let chunk = SnapshotChunk {
-            term: self.hard.term,
+            term: self.hard_state.term,
             index: snapshot.index,
             index_term: snapshot.term,
             members: snapshot.members.clone(),
@@ -67,7 +67,7 @@
     }
 
     pub(super) fn on_chunk(&mut self, now: Now, from: MemberId, it: SnapshotChunk) {
-        if it.term < self.hard.term {
+        if it.term < self.hard_state.term {
             return self.send_durable(from, self.append_reply(false, 0, it.sent_ms));
         }
         self.accept_leader(now, from, it.term);
@@ -79,10 +79,10 @@
         let same = |(first, _): &(SnapshotChunk, Vec<u8>)| {
             (first.index, first.checksum) == (it.index, it.checksum)
         };
-        if !self.incoming.as_ref().is_some_and(same) {
-            self.incoming = Some((it.clone(), Vec::new()));
+        if !self.incoming_snapshot.as_ref().is_some_and(same) {
+            self.incoming_snapshot = Some((it.clone(), Vec::new()));
         }
-        let Some((_, data)) = &mut self.incoming else { return };
+        let Some((_, data)) = &mut self.incoming_snapshot else { return };
         if data.len() as u64 == it.offset_bytes {
             data.extend_from_slice(&it.data);
         }
@@ -96,7 +96,7 @@
             };
             return self.send_now(from, RaftBody::SnapshotReply(reply));
         }
-        let Some((_, data)) = self.incoming.take() else { return };
+        let Some((_, data)) = self.incoming_snapshot.take() else { return };
         if checksum(&data) != it.checksum {
             // Begun anew; a wrong snapshot is never installed.
             let reply = SnapshotReply {
@@ -131,18 +131,18 @@
         }
         self.memberships = VecDeque::from([(snapshot.index, snapshot.members.clone())]);
         self.pending.push(DiskWrite::Snapshot(snapshot.clone()));
-        self.install.push_back(snapshot.clone());
+        self.snapshots_to_install.push_back(snapshot.clone());
         self.snapshot = Some(snapshot);
     }
 
     pub(super) fn on_chunk_reply(&mut self, now: Now, from: MemberId, it: SnapshotReply) {
-        if !self.is_leader() || it.term != self.hard.term {
+        if !self.is_leader() || it.term != self.hard_state.term {
             return;
         }
         let current = self.snapshot_index();
         let Some(progress) = self.progress.get_mut(&from) else { return };
         progress.acked_sent_ms = progress.acked_sent_ms.max(it.sent_ms);
-        progress.heard_ms = now.mono_ms;
+        progress.last_reply_ms = now.mono_ms;
         let offset_bytes = if it.index == current { it.next_offset_bytes } else { 0 };
         progress.snapshot_offset_bytes = Some(offset_bytes);
         progress.chunk_sent_ms = 0;
--- a/src/control/log/record.rs
+++ b/src/control/log/record.rs
@@ -42,7 +42,7 @@
 /// What a member's disk kept.
 #[derive(Clone, Debug, Default)]
 pub struct RecoveredState {
-    pub hard: HardState,
+    pub hard_state: HardState,
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<LogEntry>,
     /// The membership before the first entry; empty for a member that joins later.
@@ -57,7 +57,7 @@
     /// Returns an error when an entry does not follow the one before it.
     pub(super) fn replay(&mut self, record: Record) -> Result<()> {
         match record {
-            Record::HardState(it) => self.hard = it,
+            Record::HardState(it) => self.hard_state = it,
             Record::Entry(it) => {
                 let next = self.last_index() + 1;
                 if it.index != next {
--- a/src/control/scheduler/costs.rs
+++ b/src/control/scheduler/costs.rs
@@ -52,7 +52,8 @@
         if !is_batch && let Some(job) = job {
             let placed =
                 job.task_ids().filter_map(|id| state.jobs.task(id)?.placement.map(|it| it.vm));
-            let held = job.task_ids().filter_map(|id| scheduler.holds.get(&id).map(|it| it.vm));
+            let held =
+                job.task_ids().filter_map(|id| scheduler.reservations.get(&id).map(|it| it.vm));
             for vm in placed.chain(held).filter_map(|id| state.vms.get(id)) {
                 *places.entry((vm.zone.as_str(), vm.rack.as_str())).or_insert(0) += 1;
             }
@@ -78,20 +79,21 @@
     /// is spread until each VM has as much of it as its targets bear, and then waits, while work
     /// that does no harm goes anywhere.
     fn harm_done(&self, vm: &Vm, kinds: &[(CompactString, f64)], is_closed: bool) -> f64 {
-        let pairs = &self.scheduler.pairs;
+        let interference_model = &self.scheduler.interference_model;
         let share = share_of(self.need, vm.capacity);
         let services = self.scheduler.services.get(&vm.id).map_or(&[][..], |it| it.as_slice());
         let mut cost = 0.0;
         for class in services {
-            let harm = pairs.harm(class, self.kind) * share;
+            let harm = interference_model.added_slowdown(class, self.kind) * share;
             let target_ms = self.state.class(class).map_or(0, |it| it.answer_target_ms);
-            let Some(usual_ms) =
-                pairs.usual_ms(class).filter(|_| HARMLESS <= harm && 0 < target_ms)
+            let Some(baseline_tail_ms) = interference_model
+                .baseline_tail_ms(class)
+                .filter(|_| HARMLESS <= harm && 0 < target_ms)
             else {
                 continue;
             };
-            let before = pairs.slowdown(class, kinds);
-            let after = usual_ms * (before + harm) / f64::from(target_ms);
+            let before = interference_model.slowdown(class, kinds);
+            let after = baseline_tail_ms * (before + harm) / f64::from(target_ms);
             // Alone it runs somewhere in the end, whatever it does: else it would wait for ever.
             let is_alone = before < 1.0 + HARMLESS;
             if self.may_wait && !is_alone && (is_closed || FULL < after) {
@@ -109,7 +111,7 @@
             return 1e6;
         }
         let Some(vm) = self.state.vms.get(id) else { return f64::INFINITY };
-        let is_closed = self.is_batch && self.scheduler.is_closed(id);
+        let is_closed = self.is_batch && self.scheduler.is_closed_to_batch(id);
         match self.scheduler.options.learns_interference {
             // Without estimates any batch work may be what harms.
             false if is_closed => return f64::INFINITY,
@@ -119,13 +121,13 @@
         let kinds = self.scheduler.placed_tasks.kinds_on(id, vm.capacity);
         let cost = match self.is_batch {
             true => self.harm_done(vm, &kinds, is_closed),
-            false => self.scheduler.pairs.slowdown(self.class, &kinds) - 1.0,
+            false => self.scheduler.interference_model.slowdown(self.class, &kinds) - 1.0,
         };
         // Small differences are noise of the estimate; they must not beat a tight fit.
         (cost * 8.0).round() / 8.0
     }
 
-    fn neighbours(&self, room: &FreeVmCapacity) -> (u32, u32) {
+    fn same_job_counts(&self, room: &FreeVmCapacity) -> (u32, u32) {
         let zone =
             self.places.iter().filter(|((zone, _), _)| *zone == room.zone).map(|(_, it)| it).sum();
         let rack = self.places.get(&(room.zone.as_str(), room.rack.as_str())).copied().unwrap_or(0);
--- a/src/control/scheduler/mitigation.rs
+++ b/src/control/scheduler/mitigation.rs
@@ -38,7 +38,11 @@
             let tail_ms = u64::from(it.answer_p99_ms);
             if self.options.learns_interference {
                 let then = now.mono_ms.saturating_sub(age_ms);
-                self.pairs.observe(&it.class, tail_ms as f64, self.past.at(vm.id, then));
+                self.interference_model.observe(
+                    &it.class,
+                    tail_ms as f64,
+                    self.workload_history.kinds_at(vm.id, then),
+                );
             }
             let Some(class) = state.class(&it.class).filter(|it| 0 < it.answer_target_ms) else {
                 continue;
@@ -53,8 +57,12 @@
         match worst {
             Some((tail_ms, target_ms, class)) if self.options.uses_feedback => {
                 let unthrottled_tail_ms = self.tail_if_released(vm, &class, tail_ms);
-                let report =
-                    TailLatencyReport { tail_ms, unthrottled_tail_ms, target_ms, lag_ms: age_ms };
+                let report = TailLatencyReport {
+                    tail_ms,
+                    unthrottled_tail_ms,
+                    target_ms,
+                    report_age_ms: age_ms,
+                };
                 self.feed_back(state, vm, &class, report, now)
             }
             _ => Vec::new(),
@@ -63,16 +71,16 @@
 
     /// Returns the tail to expect on a VM if its throttled neighbour ran freely.
     fn tail_if_released(&self, vm: &Vm, class: &str, tail_ms: u64) -> u64 {
-        let throttled = self.loops.get(&vm.id).and_then(|it| it.throttled());
+        let throttled = self.feedback_loops.get(&vm.id).and_then(|it| it.throttled());
         let held_back = throttled.and_then(|id| {
-            let resident = self.placed_tasks.get(id)?;
+            let placed_task = self.placed_tasks.get(id)?;
             let kept = f64::from(self.throttles.get(&id).copied().unwrap_or(FREE_PERMILLE));
             let share =
-                share_of(resident.need, vm.capacity) * (1.0 - kept / f64::from(FREE_PERMILLE));
-            Some(self.pairs.harm(class, resident.kind.as_ref()?) * share)
+                share_of(placed_task.need, vm.capacity) * (1.0 - kept / f64::from(FREE_PERMILLE));
+            Some(self.interference_model.added_slowdown(class, placed_task.kind.as_ref()?) * share)
         });
-        let usual_ms = self.pairs.usual_ms(class).unwrap_or(0.0);
-        tail_ms + (held_back.unwrap_or(0.0) * usual_ms) as u64
+        let baseline_tail_ms = self.interference_model.baseline_tail_ms(class).unwrap_or(0.0);
+        tail_ms + (held_back.unwrap_or(0.0) * baseline_tail_ms) as u64
     }
 
     fn feed_back(
@@ -85,14 +93,14 @@
     ) -> Vec<TaskEventCommand> {
         let harm_of = |id: &TaskId| {
             let task = state.jobs.task(*id).filter(|it| it.state == TaskState::Running)?;
-            let resident = self.placed_tasks.get(task.id)?;
-            let kind = resident.kind.as_ref()?;
-            let share = share_of(resident.need, vm.capacity);
+            let placed_task = self.placed_tasks.get(task.id)?;
+            let kind = placed_task.kind.as_ref()?;
+            let share = share_of(placed_task.need, vm.capacity);
             // Before anything is learned the largest neighbour is the likeliest.
-            Some(((self.pairs.harm(class, kind) + 0.01) * share, *id))
+            Some(((self.interference_model.added_slowdown(class, kind) + 0.01) * share, *id))
         };
         let worst = vm.tasks.iter().filter_map(harm_of).max_by(|a, b| a.0.total_cmp(&b.0));
-        let feedback = self.loops.entry(vm.id).or_default();
+        let feedback = self.feedback_loops.entry(vm.id).or_default();
         let action = feedback.observe(now.mono_ms, report, worst.map(|(_, id)| id));
         let mut plan = Plan::default();
         match action {
@@ -101,9 +109,9 @@
             // Told to the agent as a throttle that leaves everything.
             FeedbackAction::Release { task } => self.throttle(task, FREE_PERMILLE),
             FeedbackAction::Move { task } => {
-                if self.may_evict(state, &[task], now, EvictionPurpose::Relief) {
+                if self.may_evict(state, &[task], now, EvictionPurpose::LatencyRelief) {
                     self.evict(state, task, &mut plan);
-                } else if let Some(it) = self.loops.get_mut(&vm.id) {
+                } else if let Some(it) = self.feedback_loops.get_mut(&vm.id) {
                     it.restore_throttled(task);
                 }
             }
--- a/src/control/scheduler/mod.rs
+++ b/src/control/scheduler/mod.rs
@@ -43,7 +43,7 @@
 const REPLAN_MS: u64 = 500;
 
 /// How long room freed for an urgent task is kept for it.
-const HOLD_MS: u64 = 8_000;
+const RESERVATION_MS: u64 = 8_000;
 
 /// What the scheduler is told by settings, and what experiments switch off.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -56,7 +56,7 @@
     pub learns_interference: bool,
     pub preempts: bool,
     pub uses_feedback: bool,
-    pub reserves: bool,
+    pub keeps_urgent_reserve: bool,
 }
 
 impl Default for SchedulerOptions {
@@ -70,7 +70,7 @@
             learns_interference: true,
             preempts: true,
             uses_feedback: true,
-            reserves: true,
+            keeps_urgent_reserve: true,
         }
     }
 }
@@ -80,7 +80,7 @@
 pub struct Plan {
     pub starts: Vec<StartCommand>,
     pub events: Vec<TaskEventCommand>,
-    pub flags: Vec<VmFlagsCommand>,
+    pub vm_flags: Vec<VmFlagsCommand>,
 }
 
 /// A start proposed, or room kept for one.
@@ -98,16 +98,16 @@
     queue: TaskQueue,
     index: FreeCapacityIndex,
     times: RunTimeEstimates,
-    pairs: InterferenceModel,
-    past: WorkloadHistory,
-    loops: HashMap<VmId, feedback::FeedbackLoop>,
+    interference_model: InterferenceModel,
+    workload_history: WorkloadHistory,
+    feedback_loops: HashMap<VmId, feedback::FeedbackLoop>,
     /// Classes that answer quick requests on a VM, by its agent's last report.
     services: HashMap<VmId, Vec<CompactString>>,
     placed_tasks: PlacedTasks,
-    reserve: UrgentReserve,
+    urgent_reserve: UrgentReserve,
     /// Urgent tasks not counted as arrived yet.
-    arrived: Vec<Resources>,
-    holds: BTreeMap<TaskId, Reservation>,
+    urgent_arrivals: Vec<Resources>,
+    reservations: BTreeMap<TaskId, Reservation>,
     reservations_by_vm: HashMap<VmId, Vec<TaskId>>,
     throttles: HashMap<TaskId, u32>,
     evicting: HashSet<TaskId>,
@@ -129,14 +129,14 @@
             queue: TaskQueue::default(),
             index: FreeCapacityIndex::default(),
             times: RunTimeEstimates::default(),
-            pairs: InterferenceModel::default(),
-            past: WorkloadHistory::default(),
-            loops: HashMap::new(),
+            interference_model: InterferenceModel::default(),
+            workload_history: WorkloadHistory::default(),
+            feedback_loops: HashMap::new(),
             services: HashMap::new(),
             placed_tasks: PlacedTasks::default(),
-            reserve: UrgentReserve::default(),
-            arrived: Vec::new(),
-            holds: BTreeMap::new(),
+            urgent_reserve: UrgentReserve::default(),
+            urgent_arrivals: Vec::new(),
+            reservations: BTreeMap::new(),
             reservations_by_vm: HashMap::new(),
             throttles: HashMap::new(),
             evicting: HashSet::new(),
@@ -148,14 +148,14 @@
             dirty: true,
             planned_ms: 0,
         };
-        res.note(state, Change::Configuration);
+        res.note_change(state, Change::Configuration);
         for it in state.vms.iter() {
-            res.note(state, Change::Vm(it.id));
+            res.note_change(state, Change::Vm(it.id));
         }
         let ids: Vec<_> =
             state.jobs.tasks().filter(|it| !it.state.is_final()).map(|it| it.id).collect();
         for id in ids {
-            res.note(state, Change::Task(id));
+            res.note_change(state, Change::Task(id));
         }
         res
     }
@@ -171,12 +171,12 @@
     }
 
     /// Returns the VMs where new batch work is kept away.
-    pub fn is_closed(&self, vm: VmId) -> bool {
-        self.loops.get(&vm).is_some_and(feedback::FeedbackLoop::is_closed)
+    pub fn is_closed_to_batch(&self, vm: VmId) -> bool {
+        self.feedback_loops.get(&vm).is_some_and(feedback::FeedbackLoop::is_closed_to_batch)
     }
 
     /// Takes in a change of the state.
-    pub fn note(&mut self, state: &State, change: Change) {
+    pub fn note_change(&mut self, state: &State, change: Change) {
         self.dirty = true;
         match change {
             Change::Task(id) => self.note_task(state, id),
@@ -201,7 +201,7 @@
         }
         self.dirty = false;
         self.planned_ms = now.mono_ms;
-        self.queue.advance(now.wall_ms);
+        self.queue.promote_due(now.wall_ms);
         self.release_expired_reservations(state, now);
         self.keep_reserve(state, now);
         self.judge_vms(state, now, &mut plan);
@@ -225,18 +225,23 @@
                     state.class(&job.spec.class).is_some_and(|it| it.kind == ClassKind::Batch);
                 let kind = is_batch.then(|| job.spec.kind.clone());
                 let millicores = u64::from(need.cpu_millicores);
-                let resident =
-                    PlacedTask { team: job.team.clone(), need, vm: placement.vm, kind, millicores };
-                self.queue.record_run_change(&job.team, need, RunChange::Starts);
-                self.placed_tasks.add(id, resident);
+                let placed_task = PlacedTask {
+                    team: job.team.clone(),
+                    need,
+                    vm: placement.vm,
+                    kind,
+                    allowed_millicores: millicores,
+                };
+                self.queue.record_run_change(&job.team, need, RunChange::Started);
+                self.placed_tasks.add(id, placed_task);
             }
             (None, true) => {
                 if let Some(it) = self.placed_tasks.remove(id) {
-                    self.queue.record_run_change(&it.team, it.need, RunChange::Ends);
+                    self.queue.record_run_change(&it.team, it.need, RunChange::Ended);
                 }
                 self.evicting.remove(&id);
                 if self.throttles.remove(&id).is_some() {
-                    self.loops.values_mut().for_each(|it| it.forget(id));
+                    self.feedback_loops.values_mut().for_each(|it| it.forget(id));
                 }
             }
             _ => (),
@@ -245,16 +250,16 @@
             let team = job.team.clone();
             let waiting = self.waiting_of(state, task, need);
             if waiting.tier == Tier::Urgent && task.incarnation == 0 && !self.queue.contains(id) {
-                self.arrived.push(need);
+                self.urgent_arrivals.push(need);
             }
             self.queue.insert(&team, waiting);
         } else {
             self.queue.remove(id);
         }
         if !task.state.is_waiting()
-            && let Some(hold) = self.release_reservation(id)
+            && let Some(reservation) = self.release_reservation(id)
         {
-            self.refresh_free_capacity(state, hold.vm);
+            self.refresh_free_capacity(state, reservation.vm);
         }
         if let Some(it) = task.placement {
             self.refresh_free_capacity(state, it.vm);
@@ -310,9 +315,9 @@
                 }
             }
             _ => {
-                self.loops.remove(&id);
+                self.feedback_loops.remove(&id);
                 self.services.remove(&id);
-                self.past.remove(id);
+                self.workload_history.remove(id);
                 self.placed_tasks.forget(id);
             }
         }
@@ -332,7 +337,11 @@
     fn note_scenes(&mut self, state: &State, now: Now) {
         for id in self.placed_tasks.take_changed() {
             if let Some(vm) = state.vms.get(id).filter(|_| self.options.learns_interference) {
-                self.past.note(id, now.mono_ms, self.placed_tasks.kinds_on(id, vm.capacity));
+                self.workload_history.record(
+                    id,
+                    now.mono_ms,
+                    self.placed_tasks.kinds_on(id, vm.capacity),
+                );
             }
         }
     }
@@ -347,34 +356,34 @@
                 .get(&id)
                 .into_iter()
                 .flatten()
-                .filter_map(|it| self.holds.get(it));
-            let free = held.fold(vm.free(), |free, it| subtract(free, it.need));
+                .filter_map(|it| self.reservations.get(it));
+            let free = held.fold(vm.free_capacity(), |free, it| subtract(free, it.need));
             FreeVmCapacity { free, zone: vm.zone.clone(), rack: vm.rack.clone() }
         });
         self.index.set(id, room);
     }
 
-    fn hold(&mut self, state: &State, task: TaskId, it: Reservation) {
+    fn reserve(&mut self, state: &State, task: TaskId, it: Reservation) {
         self.release_reservation(task);
-        self.holds.insert(task, it);
+        self.reservations.insert(task, it);
         self.reservations_by_vm.entry(it.vm).or_default().push(task);
         self.refresh_free_capacity(state, it.vm);
     }
 
     fn release_reservation(&mut self, task: TaskId) -> Option<Reservation> {
-        let hold = self.holds.remove(&task)?;
-        if let Some(list) = self.reservations_by_vm.get_mut(&hold.vm) {
+        let reservation = self.reservations.remove(&task)?;
+        if let Some(list) = self.reservations_by_vm.get_mut(&reservation.vm) {
             list.retain(|it| *it != task);
             if list.is_empty() {
-                self.reservations_by_vm.remove(&hold.vm);
+                self.reservations_by_vm.remove(&reservation.vm);
             }
         }
-        Some(hold)
+        Some(reservation)
     }
 
     fn release_expired_reservations(&mut self, state: &State, now: Now) {
         let old: Vec<_> = self
-            .holds
+            .reservations
             .iter()
             .filter(|(_, it)| it.until_ms <= now.mono_ms)
             .map(|(task, _)| *task)
@@ -392,7 +401,7 @@
         suspects.sort_unstable();
         for id in suspects {
             let Some(vm) = state.vms.get(id).filter(|it| !it.quarantined) else { continue };
-            plan.flags.push(VmFlagsCommand { vm: id, draining: vm.draining, quarantined: true });
+            plan.vm_flags.push(VmFlagsCommand { vm: id, draining: vm.draining, quarantined: true });
         }
         let waited = |vm: &Vm| vm.changed_ms + self.options.quarantine_ms <= now.wall_ms;
         let open = self.quarantined.iter().filter_map(|id| state.vms.get(*id));
@@ -412,14 +421,15 @@
         let candidates = self.queue.candidates(TRIED_PER_PLAN);
         let probe = candidates.iter().find(|it| {
             it.tier >= Tier::Due
-                && !self.holds.contains_key(&it.task)
+                && !self.reservations.contains_key(&it.task)
                 && vm.has_capacity_for(it.need)
         });
         let Some((it, task)) = probe.and_then(|it| Some((it, state.jobs.task(it.task)?))) else {
             return;
         };
-        let hold = Reservation { vm: vm.id, need: it.need, until_ms: now.mono_ms + HOLD_MS };
-        self.hold(state, it.task, hold);
+        let reservation =
+            Reservation { vm: vm.id, need: it.need, until_ms: now.mono_ms + RESERVATION_MS };
+        self.reserve(state, it.task, reservation);
         plan.starts.push(StartCommand {
             task: it.task,
             incarnation: task.incarnation + 1,
@@ -444,13 +454,15 @@
             });
             return;
         }
-        let held = self.holds.get(&it.task).copied();
-        if held.is_some_and(|hold| self.is_proposed(hold, now)) {
+        let held = self.reservations.get(&it.task).copied();
+        if held.is_some_and(|reservation| self.is_proposed(reservation, now)) {
             return;
         }
         // Room that was freed for this task is its own; to everyone else it looks taken.
-        let own = held.filter(|hold| self.fits_reservation(state, hold.vm, hold.need, it.task));
-        let chosen = own.map(|hold| hold.vm).or_else(|| match held {
+        let own = held.filter(|reservation| {
+            self.fits_reservation(state, reservation.vm, reservation.need, it.task)
+        });
+        let chosen = own.map(|reservation| reservation.vm).or_else(|| match held {
             Some(_) => None,
             None => {
                 self.index.choose(it.need, aim_of(it.tier), &Costs::new(self, state, task, it.tier))
@@ -471,10 +483,10 @@
                     vm,
                     session,
                 });
-                self.hold(
+                self.reserve(
                     state,
                     it.task,
-                    Reservation { vm, need: it.need, until_ms: now.mono_ms + HOLD_MS / 4 },
+                    Reservation { vm, need: it.need, until_ms: now.mono_ms + RESERVATION_MS / 4 },
                 );
             }
             None if it.tier == Tier::Urgent && self.options.preempts && held.is_none() => {
@@ -485,16 +497,17 @@
     }
 
     /// Returns whether a hold stands for a start that was proposed and is not applied yet.
-    fn is_proposed(&self, hold: Reservation, now: Now) -> bool {
-        hold.until_ms <= now.mono_ms + HOLD_MS / 4
+    fn is_proposed(&self, reservation: Reservation, now: Now) -> bool {
+        reservation.until_ms <= now.mono_ms + RESERVATION_MS / 4
     }
 
     fn fits_reservation(&self, state: &State, vm: VmId, need: Resources, task: TaskId) -> bool {
         let others =
             self.reservations_by_vm.get(&vm).into_iter().flatten().filter(|it| **it != task);
-        let others = others.filter_map(|it| self.holds.get(it));
+        let others = others.filter_map(|it| self.reservations.get(it));
         let Some(it) = state.vms.get(vm) else { return false };
-        let free = others.fold(it.free(), |free, hold| subtract(free, hold.need));
+        let free =
+            others.fold(it.free_capacity(), |free, reservation| subtract(free, reservation.need));
         it.has_capacity_for(need) && crate::control::state::fits(need, free)
     }
 
--- a/src/control/scheduler/placed_tasks.rs
+++ b/src/control/scheduler/placed_tasks.rs
@@ -16,7 +16,7 @@
     /// Its kind, where it is batch work, which can harm services.
     pub kind: Option<CompactString>,
     /// Processors that a throttle leaves it.
-    pub millicores: u64,
+    pub allowed_millicores: u64,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -42,7 +42,7 @@
     pub(super) fn add(&mut self, task: TaskId, it: PlacedTask) {
         if let Some(kind) = &it.kind {
             let sum = self.kinds.entry(it.vm).or_default().entry(kind.clone()).or_default();
-            sum.millicores += it.millicores;
+            sum.millicores += it.allowed_millicores;
             sum.tasks += 1;
         }
         self.changed.insert(it.vm);
@@ -55,7 +55,7 @@
         if let (Some(kind), Some(kinds)) = (&it.kind, self.kinds.get_mut(&it.vm))
             && let Some(sum) = kinds.get_mut(kind)
         {
-            sum.millicores -= it.millicores;
+            sum.millicores -= it.allowed_millicores;
             sum.tasks -= 1;
             if sum.tasks == 0 {
                 kinds.remove(kind);
@@ -71,7 +71,7 @@
     /// Notes that a task is held to a part of its processors, which is all that it can harm with.
     pub(super) fn throttle(&mut self, task: TaskId, permille: u32) {
         if let Some(mut it) = self.remove(task) {
-            it.millicores = u64::from(it.need.cpu_millicores) * u64::from(permille) / 1_000;
+            it.allowed_millicores = u64::from(it.need.cpu_millicores) * u64::from(permille) / 1_000;
             self.add(task, it);
         }
     }
--- a/src/control/scheduler/urgent.rs
+++ b/src/control/scheduler/urgent.rs
@@ -5,7 +5,8 @@
 use crate::{
     control::{
         scheduler::{
-            HOLD_MS, Plan, Reservation, Scheduler, VICTIM_VMS, is_open, reserve::UrgentReserve,
+            Plan, RESERVATION_MS, Reservation, Scheduler, VICTIM_VMS, is_open,
+            reserve::UrgentReserve,
         },
         state::{State, Vm, subtract},
     },
@@ -19,13 +20,13 @@
 impl Scheduler {
     /// Keeps as many places free as urgent arrivals of late call for.
     pub(super) fn keep_reserve(&mut self, state: &State, now: Now) {
-        for need in std::mem::take(&mut self.arrived) {
-            self.reserve.note_arrival(now, need);
+        for need in std::mem::take(&mut self.urgent_arrivals) {
+            self.urgent_reserve.note_arrival(now, need);
         }
-        let (count, need) = self.reserve.wanted(now);
-        let count = if self.options.reserves { count } else { 0 };
+        let (count, need) = self.urgent_reserve.wanted(now);
+        let count = if self.options.keeps_urgent_reserve { count } else { 0 };
         for (at, key) in UrgentReserve::keys().enumerate() {
-            let held = self.holds.get(&key).copied();
+            let held = self.reservations.get(&key).copied();
             let is_open =
                 held.is_some_and(|it| state.vms.get(it.vm).is_some_and(|vm| is_open(state, vm)));
             match held {
@@ -40,7 +41,7 @@
             if at < count
                 && let Some(vm) = self.index.vm_with_most_free_cpu()
             {
-                self.hold(state, key, Reservation { vm, need, until_ms: u64::MAX });
+                self.reserve(state, key, Reservation { vm, need, until_ms: u64::MAX });
             }
         }
     }
@@ -50,8 +51,8 @@
     /// The place stays reserved: what an urgent task leaves there when it ends is for the next one.
     pub(super) fn find_reserved_vm(&self, state: &State, need: Resources) -> Option<VmId> {
         let has_room = |key: TaskId| {
-            let hold = self.holds.get(&key)?;
-            self.fits_reservation(state, hold.vm, need, key).then_some(hold.vm)
+            let reservation = self.reservations.get(&key)?;
+            self.fits_reservation(state, reservation.vm, need, key).then_some(reservation.vm)
         };
         UrgentReserve::keys().find_map(has_room)
     }
@@ -78,8 +79,8 @@
                 .get(&vm.id)
                 .into_iter()
                 .flatten()
-                .filter_map(|it| self.holds.get(it));
-            let free = held.fold(vm.free(), |free, it| subtract(free, it.need));
+                .filter_map(|it| self.reservations.get(it));
+            let free = held.fold(vm.free_capacity(), |free, it| subtract(free, it.need));
             let victims = self.victims_on(state, vm, now);
             let Some((tasks, lost_ms)) = choose_victims(it.need, free, &victims) else { continue };
             if best.as_ref().is_none_or(|(least, _, _)| lost_ms < *least) {
@@ -93,10 +94,10 @@
         for id in victims {
             self.evict(state, id, plan);
         }
-        self.hold(
+        self.reserve(
             state,
             it.task,
-            Reservation { vm, need: it.need, until_ms: now.mono_ms + HOLD_MS },
+            Reservation { vm, need: it.need, until_ms: now.mono_ms + RESERVATION_MS },
         );
     }
 
@@ -111,9 +112,9 @@
             let is_batch = class.kind == ClassKind::Batch && !class.urgent;
             is_batch.then(|| Victim {
                 task: it.id,
-                holds: job.spec.resources,
-                lost_ms: now.wall_ms.saturating_sub(since_ms),
-                borrows: 1_000 < self.queue.share_permille(&job.team),
+                resources: job.spec.resources,
+                lost_run_ms: now.wall_ms.saturating_sub(since_ms),
+                exceeds_quota: 1_000 < self.queue.share_permille(&job.team),
             })
         });
         batch.collect()
@@ -146,7 +147,7 @@
         }
         for (class, (_, count)) in by_class {
             if let Some(it) = self.evictions.get_mut(class) {
-                it.take(count);
+                it.spend(count);
             }
         }
         true
--- a/src/control/sessions.rs
+++ b/src/control/sessions.rs
@@ -15,15 +15,15 @@
 #[derive(Clone, Debug)]
 pub(super) struct AgentSeen {
     /// Until then the agent may believe in its lease; its tasks are nobody else's before.
-    pub held_until_ms: u64,
-    pub heard: bool,
+    pub lease_expires_ms: u64,
+    pub has_reported: bool,
     pub number: u64,
     pub reconciled: bool,
     pub draining: bool,
     pub in_force: Revision,
     pub usage: Usage,
     /// Whether the end of the session is on its way through the log.
-    pub closing: bool,
+    pub is_closing: bool,
 }
 
 /// What the leader knows of one entry.
@@ -32,7 +32,7 @@
     pub name: CompactString,
     pub zone: CompactString,
     pub in_force: Revision,
-    pub heard_ms: u64,
+    pub last_report_ms: u64,
     pub latencies: Vec<ClassLatency>,
 }
 
@@ -56,14 +56,14 @@
     /// Adds a session just opened.
     pub(super) fn open(&mut self, session: SessionId, now: Now, held_ms: u64) {
         self.agents.entry(session).or_insert_with(|| AgentSeen {
-            held_until_ms: now.mono_ms + held_ms,
-            heard: false,
+            lease_expires_ms: now.mono_ms + held_ms,
+            has_reported: false,
             number: 0,
             reconciled: false,
             draining: false,
             in_force: Revision(0),
             usage: Usage { cpu_millicores: 0, memory_mib: 0, age_ms: 0 },
-            closing: false,
+            is_closing: false,
         });
     }
 
@@ -71,8 +71,8 @@
     pub(super) fn take_expired(&mut self, now: Now) -> Vec<SessionId> {
         let mut res = Vec::new();
         for (id, it) in &mut self.agents {
-            if it.held_until_ms < now.mono_ms && !it.closing {
-                it.closing = true;
+            if it.lease_expires_ms < now.mono_ms && !it.is_closing {
+                it.is_closing = true;
                 res.push(*id);
             }
         }
@@ -81,7 +81,7 @@
 
     /// Returns whether every session has reported to this leader.
     pub(super) fn all_reported(&self) -> bool {
-        self.agents.values().all(|it| it.heard)
+        self.agents.values().all(|it| it.has_reported)
     }
 
     /// Takes in an entry's report.
@@ -90,7 +90,7 @@
             name: it.name.clone(),
             zone: it.zone.clone(),
             in_force: it.in_force,
-            heard_ms: now.mono_ms,
+            last_report_ms: now.mono_ms,
             latencies: it.latencies.clone(),
         };
         self.entries.insert(it.reply_to, seen);
@@ -98,6 +98,6 @@
 
     /// Forgets entries that have been silent.
     pub(super) fn forget_silent_entries(&mut self, now: Now) {
-        self.entries.retain(|_, it| now.mono_ms < it.heard_ms + ENTRY_SILENCE_MS);
+        self.entries.retain(|_, it| now.mono_ms < it.last_report_ms + ENTRY_SILENCE_MS);
     }
 }
--- a/src/control/state/jobs.rs
+++ b/src/control/state/jobs.rs
@@ -5,7 +5,7 @@
 use crate::{
     control::state::{
         Change, ReplyResult, State,
-        task::{Placement, Task, TaskTransition, transition},
+        task::{Placement, Task, TaskTransition, next_state},
         vms::{self, fits},
     },
     prelude::*,
@@ -89,7 +89,7 @@
     }
 
     /// Returns the jobs of a team that are not finished.
-    pub fn open_of(&self, team: &str) -> u32 {
+    pub fn open_jobs_of(&self, team: &str) -> u32 {
         self.open_by_team.get(team).copied().unwrap_or(0)
     }
 
@@ -106,10 +106,10 @@
         }
     }
 
-    fn accept(&mut self, place: Place, it: &SubmitCommand, time_ms: u64) -> JobId {
+    fn accept(&mut self, group_id: Place, it: &SubmitCommand, time_ms: u64) -> JobId {
         self.next_job += 1;
-        let id = JobId(place.pack(self.next_job));
-        let first_task = TaskId(place.pack(self.next_task + 1));
+        let id = JobId(group_id.pack(self.next_job));
+        let first_task = TaskId(group_id.pack(self.next_task + 1));
         self.next_task += u64::from(it.spec.tasks);
         let job = Job {
             id,
@@ -174,7 +174,7 @@
             };
         }
         self.check_feasible(it)?;
-        let id = self.jobs.accept(self.place, it, self.time_ms);
+        let id = self.jobs.accept(self.group_id, it, self.time_ms);
         if let Some(job) = self.jobs.job(id) {
             changes.extend(job.task_ids().map(Change::Task));
         }
@@ -215,7 +215,7 @@
         if vms.peek().is_some() && !vms.any(|vm| fits(spec.resources, vm.capacity)) {
             return Err(refusal(ErrorKind::Infeasible, "one task is larger than any VM"));
         }
-        if team.jobs_open_max <= self.jobs.open_of(&it.team) {
+        if team.jobs_open_max <= self.jobs.open_jobs_of(&it.team) {
             let detail = format_compact!(
                 "team {} has {} jobs open, its most",
                 team.name,
@@ -239,7 +239,7 @@
             let state_of = |id: &TaskId| self.jobs.task(*id).map(|it| it.state);
             completed += u32::from(ids.iter().all(|it| state_of(it) == Some(TaskState::Completed)));
             for task in ids {
-                self.step(task, TaskTransition::Cancel, changes);
+                self.apply_transition(task, TaskTransition::Cancel, changes);
             }
         }
         if completed as usize == it.jobs.len() {
@@ -270,7 +270,7 @@
             task.incarnation = it.incarnation;
             task.placement = Some(placement);
         }
-        self.step(it.task, TaskTransition::Start, changes);
+        self.apply_transition(it.task, TaskTransition::Start, changes);
         Ok(Reply::Done)
     }
 
@@ -284,7 +284,7 @@
         let Some(task) = current else {
             return Err(refusal(ErrorKind::StaleSession, "the task has another incarnation"));
         };
-        let step = match &it.event {
+        let transition = match &it.event {
             TaskEvent::Running => TaskTransition::Running,
             TaskEvent::Completed(_) => TaskTransition::Completed,
             TaskEvent::Failed(_) => TaskTransition::Failed,
@@ -293,8 +293,8 @@
             TaskEvent::Stopped => TaskTransition::Stopped,
             TaskEvent::DeadLetter(_) => TaskTransition::DeadLetter,
         };
-        if transition(task.state, step, !task.checkpoint.is_empty()).is_none() {
-            let detail = format_compact!("a task that is {} takes no {step:?}", task.state);
+        if next_state(task.state, transition, !task.checkpoint.is_empty()).is_none() {
+            let detail = format_compact!("a task that is {} takes no {transition:?}", task.state);
             return Err(refusal(ErrorKind::AlreadyFinished, detail));
         }
         let vm = task.placement.map(|it| it.vm);
@@ -309,28 +309,37 @@
             }
             _ => (),
         }
-        if let (TaskTransition::Failed, Some(vm)) = (step, vm)
+        if let (TaskTransition::Failed, Some(vm)) = (transition, vm)
             && !task.failed_on.contains(&vm)
         {
             task.failed_on.push(vm);
         }
-        if let (TaskTransition::Completed | TaskTransition::Failed, Some(vm)) = (step, vm) {
-            self.vms.note_outcome(vm, step == TaskTransition::Completed, self.time_ms);
+        if let (TaskTransition::Completed | TaskTransition::Failed, Some(vm)) = (transition, vm) {
+            self.vms.note_outcome(vm, transition == TaskTransition::Completed, self.time_ms);
             changes.push(Change::Vm(vm));
         }
-        self.step(it.task, step, changes);
+        self.apply_transition(it.task, transition, changes);
         Ok(Reply::Done)
     }
 
     /// Moves one task along the table, and keeps ledger and job in step with it.
-    pub(super) fn step(&mut self, id: TaskId, step: TaskTransition, changes: &mut Vec<Change>) {
+    pub(super) fn apply_transition(
+        &mut self,
+        id: TaskId,
+        transition: TaskTransition,
+        changes: &mut Vec<Change>,
+    ) {
         let time_ms = self.time_ms;
         let Some(task) = self.jobs.tasks.get_mut(&id) else { return };
-        let Some(next) = transition(task.state, step, !task.checkpoint.is_empty()) else { return };
+        let Some(next) = next_state(task.state, transition, !task.checkpoint.is_empty()) else {
+            return;
+        };
         let before = std::mem::replace(&mut task.state, next);
         let job = task.job;
-        if matches!(step, TaskTransition::Evicted | TaskTransition::Lost | TaskTransition::Stopped)
-            && next.is_waiting()
+        if matches!(
+            transition,
+            TaskTransition::Evicted | TaskTransition::Lost | TaskTransition::Stopped
+        ) && next.is_waiting()
         {
             task.evictions += 1;
         }
