--- a/src/control/state/mod.rs
+++ b/src/control/state/mod.rs
@@ -21,7 +21,7 @@
     claims::Claims,
     configuration::{ConfigHistory, ConfigHistoryEntry},
     jobs::{Job, Jobs},
-    task::{Placement, STEPS, Task, TaskTransition, transition},
+    task::{Placement, TASK_TRANSITIONS, Task, TaskTransition, next_state},
     vms::{NO_RESOURCES, Session, Vm, Vms, add, fits, subtract},
     watches::{Watch, Watches},
     workflows::{
@@ -49,7 +49,7 @@
 /// The replicated state of one control group.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct State {
-    place: Place,
+    group_id: Place,
     index: u64,
     time_ms: u64,
     pub configuration: Configuration,
@@ -63,9 +63,9 @@
 
 impl State {
     /// Makes the state before the first command.
-    pub fn new(place: Place) -> State {
+    pub fn new(group_id: Place) -> State {
         State {
-            place,
+            group_id,
             index: 0,
             time_ms: 0,
             configuration: Configuration {
@@ -110,7 +110,7 @@
         command: &Command,
         changes: &mut Vec<Change>,
     ) -> ReplyResult {
-        self.touch(index, time_ms);
+        self.advance_to(index, time_ms);
         match command {
             Command::Configure(it) => self.configure(it, changes),
             Command::OpenSession(it) => self.open_session(it, changes),
@@ -122,7 +122,7 @@
             Command::TaskEvent(it) => self.task_event(it, changes),
             Command::Claim(it) => self.claims.claim(it, time_ms),
             Command::Settle(it) => self.claims.settle(it, time_ms),
-            Command::CreateWatch(it) => self.watches.create(self.place, it),
+            Command::CreateWatch(it) => self.watches.create(self.group_id, it),
             Command::DeleteWatch(it) => self.watches.delete(it),
             Command::Publish(it) => self.watches.publish(it, time_ms),
             Command::Expire(it) => self.expire(it),
@@ -141,12 +141,12 @@
         time_ms: u64,
         command: &WorkflowCommand,
     ) -> WorkflowOutcome {
-        self.touch(index, time_ms);
+        self.advance_to(index, time_ms);
         self.workflows.apply(command, time_ms)
     }
 
     /// Notes an entry that changes nothing here.
-    pub fn touch(&mut self, index: u64, time_ms: u64) {
+    pub fn advance_to(&mut self, index: u64, time_ms: u64) {
         self.index = index;
         self.time_ms = time_ms;
     }
--- a/src/control/state/task.rs
+++ b/src/control/state/task.rs
@@ -67,7 +67,7 @@
 }
 
 /// Every step, for tests over the whole table.
-pub const STEPS: &[TaskTransition] = &[
+pub const TASK_TRANSITIONS: &[TaskTransition] = &[
     TaskTransition::Start,
     TaskTransition::Running,
     TaskTransition::Completed,
@@ -83,14 +83,14 @@
 /// Returns the state that `step` leads to, or nothing where the step is refused.
 ///
 /// `has_checkpoint` says whether the task resumes from one.
-pub fn transition(
+pub fn next_state(
     state: TaskState,
-    step: TaskTransition,
+    transition: TaskTransition,
     has_checkpoint: bool,
 ) -> Option<TaskState> {
     use TaskState::*;
     let waiting = if has_checkpoint { Evicted } else { Queued };
-    match (state, step) {
+    match (state, transition) {
         (Queued, TaskTransition::Start) => Some(Starting),
         (Evicted, TaskTransition::Start) => Some(Resuming),
         (Starting | Resuming, TaskTransition::Running) => Some(Running),
--- a/src/control/state/vms.rs
+++ b/src/control/state/vms.rs
@@ -47,7 +47,7 @@
     }
 
     /// Returns what is left.
-    pub fn free(&self) -> Resources {
+    pub fn free_capacity(&self) -> Resources {
         subtract(self.capacity, self.used)
     }
 }
@@ -190,7 +190,7 @@
         vm.changed_ms = time_ms;
         let (id, tasks) = (vm.id, vm.tasks.clone());
         for task in tasks {
-            self.step(task, TaskTransition::Lost, changes);
+            self.apply_transition(task, TaskTransition::Lost, changes);
         }
         self.claims.end_session(it.session, time_ms);
         changes.push(Change::Vm(id));
@@ -239,8 +239,8 @@
 }
 
 /// Returns whether `need` is within `room` in every part.
-pub fn fits(need: Resources, room: Resources) -> bool {
-    need.cpu_millicores <= room.cpu_millicores
-        && need.memory_mib <= room.memory_mib
-        && need.accelerators <= room.accelerators
+pub fn fits(need: Resources, free: Resources) -> bool {
+    need.cpu_millicores <= free.cpu_millicores
+        && need.memory_mib <= free.memory_mib
+        && need.accelerators <= free.accelerators
 }
--- a/src/control/state/watches.rs
+++ b/src/control/state/watches.rs
@@ -77,7 +77,7 @@
         self.published.len()
     }
 
-    pub(super) fn create(&mut self, place: Place, it: &CreateWatchCommand) -> ReplyResult {
+    pub(super) fn create(&mut self, group_id: Place, it: &CreateWatchCommand) -> ReplyResult {
         let key = (it.team.clone(), it.key.clone());
         if let Some(&id) = self.by_key.get(&key) {
             return match self.watches.get(&id).is_some_and(|watch| watch.subject == it.subject) {
@@ -89,7 +89,7 @@
             };
         }
         self.next += 1;
-        let id = WatchId(place.pack(self.next));
+        let id = WatchId(group_id.pack(self.next));
         let watch = Watch {
             id,
             team: it.team.clone(),
--- a/src/control/state/workflows/failures.rs
+++ b/src/control/state/workflows/failures.rs
@@ -103,7 +103,7 @@
 
     /// Notes that a member of a gang failed; returns whether that is the first failure of its start.
     pub(super) fn note_gang(&mut self, run: RunRef) -> bool {
-        let last = self.gangs.entry(StepRef::of(run.task)).or_insert(0);
+        let last = self.gangs.entry(StepRef::of_task(run.task)).or_insert(0);
         std::mem::replace(last, run.run.max(*last)) < run.run
     }
 
--- a/src/control/state/workflows/mod.rs
+++ b/src/control/state/workflows/mod.rs
@@ -42,7 +42,7 @@
     active: BTreeSet<WorkflowId>,
     workers: Workers,
     /// What leaders have learned of images beside each other.
-    costs: Vec<ImageCost>,
+    image_costs: Vec<ImageCost>,
     #[serde(skip)]
     index: index::Index,
     /// From here on what snapshots of earlier versions end before.
@@ -85,8 +85,8 @@
     }
 
     /// Returns what leaders have learned of images beside each other.
-    pub fn costs(&self) -> &[ImageCost] {
-        &self.costs
+    pub fn image_costs(&self) -> &[ImageCost] {
+        &self.image_costs
     }
 
     /// Returns the availability zones that are out of use.
@@ -106,7 +106,7 @@
     }
 
     /// Returns whether a configuration is in force that does not name a pool of workers.
-    pub fn is_foreign(&self, service: &str) -> bool {
+    pub fn is_unconfigured_service(&self, service: &str) -> bool {
         self.config.as_ref().is_some_and(|it| !it.services.iter().any(|known| known == service))
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Returns whether a run may be on a worker, by what is known so far.
-    pub fn holds(&self, worker: WorkerId, run: RunRef) -> bool {
+    pub fn has_run(&self, worker: WorkerId, run: RunRef) -> bool {
         self.workers.get(worker).is_some_and(|it| it.runs.contains(&run))
     }
 
@@ -176,7 +176,7 @@
             WorkflowCommand::Dismiss(id) => self.dismiss(*id, time_ms),
             WorkflowCommand::Forget(before_ms) => self.forget(*before_ms),
             WorkflowCommand::Learn(costs) => {
-                self.costs = costs.clone();
+                self.image_costs = costs.clone();
                 WorkflowOutcome::Accepted
             }
             WorkflowCommand::Evacuate(it) => self.evacuations.apply(it, time_ms),
@@ -226,7 +226,7 @@
             {
                 worker.add(it.run, step);
                 self.suspects.note_begun(it.run, time_ms);
-                self.index_step(StepRef::of(it.run.task));
+                self.index_step(StepRef::of_task(it.run.task));
             }
         }
         WorkflowOutcome::Accepted
@@ -252,8 +252,8 @@
         crashed.peek()?;
         let row = |it: &RunEnd| {
             let age_ms = self.suspects.age_ms(it.run, time_ms)?;
-            let was_seen = it.outcome == RunOutcome::Crashed;
-            Some(CrashedRun { task: it.run.task, age_ms, was_seen })
+            let was_confirmed_running = it.outcome == RunOutcome::Crashed;
+            Some(CrashedRun { task: it.run.task, age_ms, was_confirmed_running })
         };
         let runs = crashed.filter(|it| !self.is_redundant(it.run)).filter_map(row).collect();
         Some(Crash { workers: self.workers.len(), time_ms, runs })
@@ -275,7 +275,7 @@
     /// was concluded: counted by its place in the list, one failure ended a workflow as three. Only
     /// what is done stays done, whoever tells it, since the task must not be done again.
     fn finish_run(&mut self, worker: WorkerId, end: &RunEnd, cursor: u64, time_ms: u64) {
-        let is_held = self.holds(worker, end.run);
+        let is_held = self.has_run(worker, end.run);
         if !is_held && end.outcome != RunOutcome::Done {
             return;
         }
@@ -314,7 +314,7 @@
         self.suspects.note_over(end.run);
         match phase.or(is_given_up.then_some(WorkflowPhase::Failed)) {
             Some(phase) => self.end_workflow(id, phase, time_ms),
-            None => self.index_after(StepRef::of(end.run.task)),
+            None => self.index_after(StepRef::of_task(end.run.task)),
         }
     }
 
@@ -348,7 +348,7 @@
         self.suspects.note_over(run);
         if let Some(workflow) = self.workflows.get_mut(&run.task.workflow) {
             workflow.void(worker, run);
-            self.index_step(StepRef::of(run.task));
+            self.index_step(StepRef::of_task(run.task));
         }
     }
 
@@ -366,7 +366,7 @@
         if self.workers.find(it.node, &it.name).is_some() {
             return WorkflowOutcome::Accepted;
         }
-        for id in self.workers.beside(it.node) {
+        for id in self.workers.ids_at_node(it.node) {
             self.dismiss(id, time_ms);
         }
         let id = self.workers.enrol(it);
--- a/src/control/state/workflows/suspects.rs
+++ b/src/control/state/workflows/suspects.rs
@@ -36,7 +36,7 @@
     pub task: TaskRef,
     pub age_ms: u64,
     /// Whether the worker was seen to run it.
-    pub was_seen: bool,
+    pub was_confirmed_running: bool,
 }
 
 /// Returns whether an end tells that its worker crashed.
@@ -93,17 +93,17 @@
     /// returns whether its task is to be given up.
     pub(super) fn note_end(&mut self, end: &RunEnd, time_ms: u64) -> bool {
         let task = end.run.task;
-        let Some(suspicion) = self.get(task) else { return false };
+        let Some(evidence) = self.get(task) else { return false };
         let age_ms = self.age_ms(end.run, time_ms).unwrap_or(0);
         let is_cleared = match end.outcome {
             RunOutcome::Done => true,
             RunOutcome::Lapsed => is_surely_too_old_to_suspect(age_ms),
-            _ => suspicion.is_ruled_out_at_age(age_ms),
+            _ => evidence.is_ruled_out_at_age(age_ms),
         };
         match end.outcome {
             _ if is_cleared => drop(self.tasks.remove(&task)),
             RunOutcome::Lapsed => {
-                let after = suspicion.after_silent_worker();
+                let after = evidence.after_silent_worker();
                 self.tasks.insert(task, after);
                 return after.is_at_crash_limit();
             }
@@ -120,7 +120,9 @@
         self.crashes_ms.retain(|it| crash.time_ms < it + CRASH_RATE_WINDOW_MS);
         let after = |it: &CrashedRun| Some((it.task, self.after_crash(*it, crash.workers, false)?));
         let convicted = crash.runs.iter().filter_map(after).filter(|(_, it)| it.is_culprit());
-        let culprit = convicted.max_by(|a, b| a.1.odds.total_cmp(&b.1.odds)).map(|it| it.0);
+        let culprit = convicted
+            .max_by(|a, b| a.1.likelihood_ratio.total_cmp(&b.1.likelihood_ratio))
+            .map(|it| it.0);
         for it in &crash.runs {
             match self.after_crash(*it, crash.workers, culprit.is_some()) {
                 Some(after) => drop(self.tasks.insert(it.task, after)),
@@ -145,14 +147,14 @@
         is_explained: bool,
     ) -> Option<CrashEvidence> {
         let before = self.get(it.task).unwrap_or_default();
-        let crashes = self.crashes_ms.len().saturating_sub(before.losses as usize);
-        let background = BaselineCrashRate { crashes, workers };
-        match it.was_seen {
+        let crashes = self.crashes_ms.len().saturating_sub(before.crashes_in_row as usize);
+        let baseline = BaselineCrashRate { crashes, workers };
+        match it.was_confirmed_running {
             false if is_surely_too_old_to_suspect(it.age_ms) => None,
             false => Some(before.after_unobserved_crash()),
             true if is_too_old_to_suspect(it.age_ms) => None,
             true if is_explained => Some(before.after_explained_crash(it.age_ms)),
-            true => Some(before.after_crash(it.age_ms, background)),
+            true => Some(before.after_crash(it.age_ms, baseline)),
         }
     }
 
--- a/src/control/state/workflows/workers.rs
+++ b/src/control/state/workflows/workers.rs
@@ -89,7 +89,7 @@
     }
 
     /// Returns the lifetimes beside a node.
-    pub fn beside(&self, node: SocketAddr) -> Vec<WorkerId> {
+    pub fn ids_at_node(&self, node: SocketAddr) -> Vec<WorkerId> {
         self.by_node.get(&node).cloned().unwrap_or_default()
     }
 
--- a/src/control/views.rs
+++ b/src/control/views.rs
@@ -58,7 +58,7 @@
         AdminView::Vms => {
             json!(state.vms.iter().map(|it| vm_value(core, it, now)).collect::<Vec<_>>())
         }
-        AdminView::Endpoints => match &core.leading {
+        AdminView::Endpoints => match &core.leader_state {
             Some(it) => json!(it.directory.iter().collect::<Vec<_>>()),
             None => json!([]),
         },
@@ -120,7 +120,7 @@
 
 fn vm_value(core: &ControlCore, vm: &Vm, now: Now) -> Value {
     let seen =
-        vm.session.as_ref().and_then(|it| core.leading.as_ref()?.sessions.agents.get(&it.id));
+        vm.session.as_ref().and_then(|it| core.leader_state.as_ref()?.sessions.agents.get(&it.id));
     json!({
         "vm": vm.id,
         "name": vm.name,
@@ -132,9 +132,9 @@
         "session": vm.session.as_ref().map(|it| it.id),
         "draining": vm.draining || seen.is_some_and(|it| it.draining),
         "quarantined": vm.quarantined,
-        "closed_to_batch": core.scheduler().is_some_and(|it| it.is_closed(vm.id)),
+        "closed_to_batch": core.scheduler().is_some_and(|it| it.is_closed_to_batch(vm.id)),
         "in_force": seen.map(|it| it.in_force),
-        "lease_left_ms": seen.map(|it| it.held_until_ms.saturating_sub(now.mono_ms)),
+        "lease_left_ms": seen.map(|it| it.lease_expires_ms.saturating_sub(now.mono_ms)),
         "usage": seen.map(|it| it.usage),
     })
 }
@@ -183,7 +183,7 @@
             "waiting": waiting,
             "by_class": classes.join(" "),
             "quota_used_permille": scheduler.queue().share_permille(team),
-            "jobs_open": core.state.jobs.open_of(team),
+            "jobs_open": core.state.jobs.open_jobs_of(team),
         })
     });
     json!(rows.collect::<Vec<_>>())
@@ -197,7 +197,7 @@
 /// The table that an operator reads first.
 fn status(core: &ControlCore, now: Now) -> Value {
     let state = &core.state;
-    let entries: Vec<_> = core.leading.iter().flat_map(|it| &it.sessions.entries).collect();
+    let entries: Vec<_> = core.leader_state.iter().flat_map(|it| &it.sessions.entries).collect();
     let classes = state.configuration.classes.iter().map(|class| {
         // The worst entry is shown: percentiles of several cannot be added up.
         let measured =
@@ -219,7 +219,7 @@
         "members": members(core, now),
         "entries": entries.iter().map(|(address, it)| json!({
             "name": it.name, "zone": it.zone, "address": address, "in_force": it.in_force,
-            "silent_ms": now.mono_ms.saturating_sub(it.heard_ms),
+            "silent_ms": now.mono_ms.saturating_sub(it.last_report_ms),
         })).collect::<Vec<_>>(),
         "vms": state.vms.iter().map(|it| vm_value(core, it, now)).collect::<Vec<_>>(),
         "queue": queue(core),
--- a/src/entry/core/admission.rs
+++ b/src/entry/core/admission.rs
@@ -23,7 +23,7 @@
                 100,
             ));
         }
-        if self.adopted.revision() == Revision(0) {
+        if self.configuration.revision() == Revision(0) {
             let detail = "this entry has no configuration yet";
             return Err(refusal_with_retry_after(ErrorKind::NoEndpoint, detail, 1_000));
         }
@@ -58,7 +58,7 @@
         if let Some(it) = refusal {
             return self.answer(token, CallerAnswer::Refused(it));
         }
-        if LOOKUPS_MAX <= self.quicks.len() && no_room.is_some() {
+        if LOOKUPS_MAX <= self.pending_requests.len() && no_room.is_some() {
             // Not even its key can be looked up, so an earlier sending may have run.
             let detail =
                 "too many requests are open to look up its key: send it again with the same key";
@@ -70,8 +70,11 @@
             return self.refuse(now, key, refusal);
         }
         // Who arrives while others wait goes behind them.
-        let Some(class) = self.quicks.get(key).map(|it| it.quick.class.clone()) else { return };
-        let others_wait = self.lines.get(&class).is_some_and(|it| !it.queue.is_empty());
+        let Some(class) = self.pending_requests.get(key).map(|it| it.caller_request.class.clone())
+        else {
+            return;
+        };
+        let others_wait = self.class_queues.get(&class).is_some_and(|it| !it.queue.is_empty());
         if others_wait || !self.try_begin(now, key) {
             self.enqueue(now, key);
         }
@@ -89,11 +92,11 @@
         let deadline_ms = now.mono_ms + u64::from(quick.deadline_ms);
         *self.by_team.entry(team.clone()).or_insert(0) += 1;
         let digest = digest_of(&[quick.class.as_bytes(), quick.path.as_bytes(), &quick.body]);
-        let key = self.quicks.insert(PendingRequest {
+        let key = self.pending_requests.insert(PendingRequest {
             token: Some(token),
             request,
             team,
-            quick: Arc::new(quick),
+            caller_request: Arc::new(quick),
             digest,
             arrived_ms: now.mono_ms,
             deadline_ms,
@@ -101,7 +104,7 @@
             attempts: Vec::new(),
             attempts_made: 0,
             claim_attempt: 0,
-            tried: Vec::new(),
+            tried_endpoints: Vec::new(),
             may_have_run: false,
             last_refusal: None,
             error_answer: None,
@@ -113,27 +116,28 @@
 
     /// Checks whether a request admitted a moment ago can be served now.
     pub(super) fn check_busy(&self, key: PendingRequestKey) -> Result<(), Refusal> {
-        let Some(quick) = self.quicks.get(key) else { return Ok(()) };
-        let open = self.by_team.get(&quick.team).copied().unwrap_or(0);
-        let most = self.adopted.team(&quick.team).map_or(0, |it| it.requests_in_flight_max);
+        let Some(pending) = self.pending_requests.get(key) else { return Ok(()) };
+        let open = self.by_team.get(&pending.team).copied().unwrap_or(0);
+        let most = self.configuration.team(&pending.team).map_or(0, |it| it.requests_in_flight_max);
         if most < open {
             let detail =
-                format_compact!("team {} has {most} requests open here, its most", quick.team);
+                format_compact!("team {} has {most} requests open here, its most", pending.team);
             return Err(refusal_with_retry_after(ErrorKind::TeamShareExceeded, detail, 100));
         }
-        if !self.endpoints.has_open(&quick.quick.class) {
-            let detail = format_compact!("class {} has no endpoint now", quick.quick.class);
+        if !self.endpoints.has_open(&pending.caller_request.class) {
+            let detail =
+                format_compact!("class {} has no endpoint now", pending.caller_request.class);
             return Err(refusal_with_retry_after(ErrorKind::NoEndpoint, detail, 1_000));
         }
         Ok(())
     }
 
     pub(super) fn check_quick(&self, team: &str, it: &QuickRequest) -> Result<(), Refusal> {
-        if self.adopted.team(team).is_none() {
+        if self.configuration.team(team).is_none() {
             let detail = format_compact!("no team is named {team}");
             return Err(refusal(ErrorKind::UnknownTeam, detail));
         }
-        let Some(class) = self.adopted.class(&it.class) else {
+        let Some(class) = self.configuration.class(&it.class) else {
             return Err(refusal(
                 ErrorKind::UnknownClass,
                 format_compact!("no class is named {}", it.class),
@@ -160,16 +164,16 @@
 
     /// Lets a request wait for a free endpoint, unless it is known that it would wait too long.
     pub(super) fn enqueue(&mut self, now: Now, key: PendingRequestKey) {
-        let Some(quick) = self.quicks.get(key) else { return };
-        let class = quick.quick.class.clone();
-        let team = quick.team.clone();
-        let waiting = WaitingRequest { key, deadline_ms: quick.deadline_ms };
+        let Some(pending) = self.pending_requests.get(key) else { return };
+        let class = pending.caller_request.class.clone();
+        let team = pending.team.clone();
+        let waiting = WaitingRequest { key, deadline_ms: pending.deadline_ms };
         let answer_ms = self.endpoints.answer_ms_of(&class);
         let slots = self.endpoints.slots_of(&class);
         let len_max = self.options.settings.queue_max as usize;
-        let queued = self.lines.get(&class).map_or(0, |it| it.queue.len());
+        let queued = self.class_queues.get(&class).map_or(0, |it| it.queue.len());
         let wait_ms = admission::expected_wait_ms(queued, slots, answer_ms);
-        if quick.left_ms(now) <= wait_ms + answer_ms as u64 {
+        if pending.left_ms(now) <= wait_ms + answer_ms as u64 {
             let detail =
                 format_compact!("{queued} requests are ahead, about {wait_ms} ms of waiting");
             return self.refuse(
@@ -178,7 +182,7 @@
                 refusal_with_retry_after(ErrorKind::WouldMissDeadline, detail, wait_ms.max(50)),
             );
         }
-        let line = class_queue(&mut self.lines, &class);
+        let line = class_queue(&mut self.class_queues, &class);
         match line.queue.push(&team, waiting, len_max) {
             Ok(None) => (),
             Ok(Some(displaced)) => {
@@ -190,7 +194,7 @@
             Err(rejection) => {
                 let kind = match rejection {
                     Rejection::QueueFull => ErrorKind::QueueFull,
-                    Rejection::TeamShare => ErrorKind::TeamShareExceeded,
+                    Rejection::TeamShareExceeded => ErrorKind::TeamShareExceeded,
                 };
                 let detail =
                     format_compact!("{queued} requests of class {class} wait here already");
@@ -206,16 +210,16 @@
 
     /// Looks at a waiting request again when it can no longer be answered in time.
     pub(super) fn schedule_drop(&mut self, now: Now, key: PendingRequestKey) {
-        let Some(quick) = self.quicks.get(key) else { return };
-        let answer_ms = self.endpoints.answer_ms_of(&quick.quick.class) as u64;
-        let at_ms = quick.deadline_ms.saturating_sub(answer_ms).max(now.mono_ms + 1);
+        let Some(pending) = self.pending_requests.get(key) else { return };
+        let answer_ms = self.endpoints.answer_ms_of(&pending.caller_request.class) as u64;
+        let at_ms = pending.deadline_ms.saturating_sub(answer_ms).max(now.mono_ms + 1);
         self.timers.insert((at_ms, key));
     }
 
     /// Begins waiting requests of a class as far as endpoints take them.
     pub(super) fn pump(&mut self, now: Now, class: &str) {
         loop {
-            let Some(next) = self.lines.get_mut(class).and_then(|it| it.queue.pop()) else {
+            let Some(next) = self.class_queues.get_mut(class).and_then(|it| it.queue.pop()) else {
                 return;
             };
             if !self.try_begin(now, next.key) {
@@ -226,7 +230,7 @@
 
     pub(super) fn pump_all(&mut self, now: Now) {
         let classes: Vec<_> = self
-            .lines
+            .class_queues
             .iter()
             .filter(|(_, it)| !it.queue.is_empty())
             .map(|(class, _)| class.clone())
@@ -238,8 +242,10 @@
 
     /// Puts back what was taken from its queue a moment ago.
     pub(super) fn enqueue_again(&mut self, it: WaitingRequest<PendingRequestKey>) {
-        let Some(quick) = self.quicks.get(it.key) else { return };
-        let team = quick.team.clone();
-        class_queue(&mut self.lines, &quick.quick.class).queue.unpop(&team, it);
+        let Some(pending) = self.pending_requests.get(it.key) else { return };
+        let team = pending.team.clone();
+        class_queue(&mut self.class_queues, &pending.caller_request.class)
+            .queue
+            .push_front(&team, it);
     }
 }
--- a/src/entry/core/attempts.rs
+++ b/src/entry/core/attempts.rs
@@ -9,7 +9,7 @@
         pending_request::{Attempt, PendingRequestKey, Stage},
         request::CallerAnswer,
     },
-    error::{ExecutionStatus, answer_of},
+    error::{ExecutionStatus, answer_for_error},
     metrics::AnswerDropReason,
     policy::retry::{RetryReason, reason_of_refusal},
     prelude::*,
@@ -20,19 +20,19 @@
     /// Sends a request to an endpoint, or claims its key first; returns false where no endpoint
     /// takes it now.
     pub(super) fn try_begin(&mut self, now: Now, key: PendingRequestKey) -> bool {
-        let Some(quick) = self.quicks.get_mut(key) else { return true };
-        let class = quick.quick.class.clone();
-        let chosen = self.endpoints.choose(&class, &quick.tried, now, &mut self.random);
+        let Some(pending) = self.pending_requests.get_mut(key) else { return true };
+        let class = pending.caller_request.class.clone();
+        let chosen = self.endpoints.choose(&class, &pending.tried_endpoints, now, &mut self.random);
         // Where every endpoint was tried, the first ones may have recovered.
         let chosen = match chosen {
-            None if !quick.tried.is_empty() => {
+            None if !pending.tried_endpoints.is_empty() => {
                 self.endpoints.choose(&class, &[], now, &mut self.random)
             }
             it => it,
         };
         let Some(endpoint) = chosen else { return false };
         self.endpoints.note_sent(endpoint);
-        if quick.is_idempotent() {
+        if pending.is_idempotent() {
             self.send_attempt(now, key, endpoint);
         } else {
             self.claim(now, key, endpoint);
@@ -42,37 +42,39 @@
 
     /// Sends one attempt to an endpoint already counted.
     pub(super) fn send_attempt(&mut self, now: Now, key: PendingRequestKey, endpoint: EndpointKey) {
-        let (Some(quick), Some(target)) = (self.quicks.get_mut(key), self.endpoints.get(endpoint))
+        let (Some(pending), Some(target)) =
+            (self.pending_requests.get_mut(key), self.endpoints.get(endpoint))
         else {
             return;
         };
-        quick.attempts_made += 1;
+        pending.attempts_made += 1;
         // A claimed attempt bears the claim's number, by which others may ask about it.
-        let number = if quick.is_idempotent() { quick.attempts_made } else { quick.claim_attempt };
-        quick.attempts.push(Attempt {
+        let number =
+            if pending.is_idempotent() { pending.attempts_made } else { pending.claim_attempt };
+        pending.attempts.push(Attempt {
             number,
             endpoint,
             endpoint_id: target.id,
             sent_ms: now.mono_ms,
         });
-        let left_ms = quick.left_ms(now);
-        let usual_ms = target.answer_time.get_ms() as u64;
+        let left_ms = pending.left_ms(now);
+        let usual_ms = target.answer_time.mean_ms() as u64;
         // An attempt that takes several times the usual is worth a second one, while there is
         // time left for it to be answered.
         let wait_ms = (usual_ms * 6).max(ATTEMPT_MIN_MS).min((left_ms / 2).max(ATTEMPT_MIN_MS));
         let next_action_ms = now.mono_ms + wait_ms;
-        quick.stage = Stage::InFlight { next_action_ms };
+        pending.stage = Stage::InFlight { next_action_ms };
         let execute = Execute {
-            request: quick.request,
+            request: pending.request,
             attempt: number,
             endpoint: target.id,
             reply_to: self.options.address,
-            team: quick.team.clone(),
-            class: quick.quick.class.clone(),
-            path: quick.quick.path.clone(),
+            team: pending.team.clone(),
+            class: pending.caller_request.class.clone(),
+            path: pending.caller_request.path.clone(),
             deadline_ms: left_ms.min(u32::MAX.into()) as u32,
-            idempotent: quick.is_idempotent(),
-            body: serde_bytes::ByteBuf::from(quick.quick.body.clone()),
+            idempotent: pending.is_idempotent(),
+            body: serde_bytes::ByteBuf::from(pending.caller_request.body.clone()),
         };
         let to = target.agent;
         self.timers.insert((next_action_ms, key));
@@ -86,15 +88,15 @@
 
     /// Does what is due for a request.
     pub(super) fn act(&mut self, now: Now, key: PendingRequestKey) {
-        let Some(quick) = self.quicks.get(key) else { return };
-        if quick.deadline_ms <= now.mono_ms {
+        let Some(pending) = self.pending_requests.get(key) else { return };
+        if pending.deadline_ms <= now.mono_ms {
             return self.on_deadline(now, key);
         }
-        match quick.stage {
+        match pending.stage {
             Stage::Waiting => {
-                let class = quick.quick.class.clone();
+                let class = pending.caller_request.class.clone();
                 let answer_ms = self.endpoints.answer_ms_of(&class) as u64;
-                if quick.left_ms(now) <= answer_ms {
+                if pending.left_ms(now) <= answer_ms {
                     let detail = "it waited until too little time was left";
                     self.refuse(
                         now,
@@ -110,7 +112,7 @@
                 self.look_at_claim(now, key)
             }
             Stage::InFlight { next_action_ms }
-                if next_action_ms <= now.mono_ms && quick.is_idempotent() =>
+                if next_action_ms <= now.mono_ms && pending.is_idempotent() =>
             {
                 self.hedge(now, key)
             }
@@ -123,12 +125,13 @@
 
     /// Makes another attempt beside one that is slow to answer.
     pub(super) fn hedge(&mut self, now: Now, key: PendingRequestKey) {
-        let Some(quick) = self.quicks.get_mut(key) else { return };
-        quick.may_have_run = true;
-        let slow: Vec<_> = quick.attempts.iter().map(|it| (it.endpoint, it.endpoint_id)).collect();
-        if quick.attempts_made < self.options.settings.attempts_max && self.budget.try_spend() {
-            quick.tried.extend(slow.iter().map(|(_, id)| *id));
-            self.metrics.retried(RetryReason::NoAnswer);
+        let Some(pending) = self.pending_requests.get_mut(key) else { return };
+        pending.may_have_run = true;
+        let slow: Vec<_> =
+            pending.attempts.iter().map(|it| (it.endpoint, it.endpoint_id)).collect();
+        if pending.attempts_made < self.options.settings.attempts_max && self.budget.try_spend() {
+            pending.tried_endpoints.extend(slow.iter().map(|(_, id)| *id));
+            self.metrics.count_retry(RetryReason::NoAnswer);
             for (endpoint, _) in slow {
                 self.note_failure(now, endpoint);
             }
@@ -136,14 +139,14 @@
                 return;
             }
         }
-        if let Some(quick) = self.quicks.get_mut(key) {
-            quick.stage = Stage::InFlight { next_action_ms: quick.deadline_ms };
+        if let Some(pending) = self.pending_requests.get_mut(key) {
+            pending.stage = Stage::InFlight { next_action_ms: pending.deadline_ms };
         }
     }
 
     pub(super) fn on_deadline(&mut self, now: Now, key: PendingRequestKey) {
-        let Some(quick) = self.quicks.get_mut(key) else { return };
-        match quick.stage {
+        let Some(pending) = self.pending_requests.get_mut(key) else { return };
+        match pending.stage {
             Stage::Waiting => {
                 let detail = "its deadline passed while it waited";
                 self.refuse(
@@ -152,7 +155,7 @@
                     refusal_with_retry_after(ErrorKind::DeadlineExpiredQueued, detail, 100),
                 );
             }
-            Stage::InFlight { .. } if quick.is_idempotent() => {
+            Stage::InFlight { .. } if pending.is_idempotent() => {
                 self.refuse(
                     now,
                     key,
@@ -176,11 +179,11 @@
                 );
             }
             Stage::Claiming { .. } | Stage::InFlight { .. } => {
-                let sent = matches!(quick.stage, Stage::InFlight { .. });
+                let sent = matches!(pending.stage, Stage::InFlight { .. });
                 // The caller is told now; the claim is followed, so that a resend learns more.
-                quick.deadline_ms = now.mono_ms + FOLLOW_UNKNOWN_MS;
-                self.timers.insert((quick.deadline_ms, key));
-                let Some(token) = quick.token.take() else {
+                pending.deadline_ms = now.mono_ms + FOLLOW_UNKNOWN_MS;
+                self.timers.insert((pending.deadline_ms, key));
+                let Some(token) = pending.token.take() else {
                     return self.give_up_following(now, key);
                 };
                 let refusal = match sent {
@@ -202,15 +205,15 @@
         let endpoints = &self.endpoints;
         let at_peer = |it: &Attempt| endpoints.get(it.endpoint).is_some_and(|it| it.agent == peer);
         let affected = self
-            .quicks
+            .pending_requests
             .iter()
             .filter(|(_, it)| it.attempts.iter().any(at_peer))
             .map(|(key, _)| key);
         let affected: Vec<_> = affected.collect();
         for key in affected {
             // What was sent may be lost: no reason to wait for the usual time.
-            if let Some(quick) = self.quicks.get_mut(key)
-                && let Stage::InFlight { next_action_ms } = &mut quick.stage
+            if let Some(pending) = self.pending_requests.get_mut(key)
+                && let Stage::InFlight { next_action_ms } = &mut pending.stage
             {
                 *next_action_ms = now.mono_ms;
                 self.timers.insert((now.mono_ms, key));
@@ -224,21 +227,22 @@
         {
             endpoint.note_load(it.load, now);
         }
-        if let Some(key) = self.asked.remove(&(it.request, it.attempt)) {
+        if let Some(key) = self.outcome_queries.remove(&(it.request, it.attempt)) {
             return self.on_foreign_outcome(now, key, it);
         }
         let found = self.by_request.get(&it.request).copied();
-        let Some((key, quick)) = found.and_then(|key| Some((key, self.quicks.get_mut(key)?)))
+        let Some((key, pending)) =
+            found.and_then(|key| Some((key, self.pending_requests.get_mut(key)?)))
         else {
             let own =
                 it.request.boot == self.options.boot && it.request.number <= self.next_request;
             return self.metrics.count_dropped_answer(if own {
                 AnswerDropReason::Late
             } else {
-                AnswerDropReason::Foreign
+                AnswerDropReason::UnknownRequest
             });
         };
-        let position = quick
+        let position = pending
             .attempts
             .iter()
             .position(|at| at.number == it.attempt && at.endpoint_id == it.endpoint);
@@ -246,11 +250,11 @@
             return self.metrics.count_dropped_answer(AnswerDropReason::Late);
         };
         if it.outcome == ExecuteOutcome::Running {
-            quick.stage = Stage::InFlight { next_action_ms: now.mono_ms + ASK_MS };
+            pending.stage = Stage::InFlight { next_action_ms: now.mono_ms + ASK_MS };
             self.timers.insert((now.mono_ms + ASK_MS, key));
             return;
         }
-        let attempt = quick.attempts.remove(position);
+        let attempt = pending.attempts.remove(position);
         self.endpoints.note_ended(attempt.endpoint);
         self.on_outcome(now, key, attempt, it.outcome);
     }
@@ -264,7 +268,7 @@
     ) {
         match outcome {
             ExecuteOutcome::Answered(it) if checksum(&it.body) != it.checksum => {
-                self.metrics.count_dropped_answer(AnswerDropReason::Damaged);
+                self.metrics.count_dropped_answer(AnswerDropReason::ChecksumMismatch);
                 self.on_failed(now, key, attempt, "its answer arrived damaged");
             }
             ExecuteOutcome::Answered(it) => self.on_answered(now, key, attempt, it),
@@ -274,10 +278,10 @@
                     self.endpoints.note_leaving(attempt.endpoint_id);
                 }
                 if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
-                    endpoint.ejection.note_refused(now.mono_ms);
+                    endpoint.ejection.note_probe_refused(now.mono_ms);
                 }
-                if let Some(quick) = self.quicks.get_mut(key) {
-                    quick.last_refusal = Some(kind);
+                if let Some(pending) = self.pending_requests.get_mut(key) {
+                    pending.last_refusal = Some(kind);
                 }
                 self.retry(now, key, attempt.endpoint_id, reason_of_refusal(kind));
             }
@@ -308,13 +312,13 @@
         } else {
             self.budget.earn();
         }
-        let Some(quick) = self.quicks.get_mut(key) else { return };
-        if is_error && quick.is_idempotent() {
+        let Some(pending) = self.pending_requests.get_mut(key) else { return };
+        if is_error && pending.is_idempotent() {
             // Another endpoint may do better; if none does, the caller gets this answer.
-            quick.error_answer = Some(it);
+            pending.error_answer = Some(it);
             return self.retry(now, key, attempt.endpoint_id, RetryReason::Failed);
         }
-        if !quick.is_idempotent() {
+        if !pending.is_idempotent() {
             self.settle_done(now, key, &it);
         }
         self.pass_on(now, key, it);
@@ -322,12 +326,12 @@
 
     /// Answers the caller with an endpoint's answer.
     pub(super) fn pass_on(&mut self, now: Now, key: PendingRequestKey, it: Answer) {
-        let Some(quick) = self.quicks.get(key) else { return };
-        let total_ms = now.mono_ms.saturating_sub(quick.arrived_ms);
-        let attempts = quick.attempts_made;
-        let class = quick.quick.class.clone();
-        self.metrics.answered(&class, total_ms as f64 / 1_000.0);
-        class_queue(&mut self.lines, &class).answers.saturating_record(total_ms.max(1));
+        let Some(pending) = self.pending_requests.get(key) else { return };
+        let total_ms = now.mono_ms.saturating_sub(pending.arrived_ms);
+        let attempts = pending.attempts_made;
+        let class = pending.caller_request.class.clone();
+        self.metrics.observe_answer(&class, total_ms as f64 / 1_000.0);
+        class_queue(&mut self.class_queues, &class).answers.saturating_record(total_ms.max(1));
         let answer = CallerAnswer::Quick {
             status: it.status,
             content_type: it.content_type,
@@ -345,13 +349,13 @@
         why: &str,
     ) {
         self.note_failure(now, attempt.endpoint);
-        let Some(quick) = self.quicks.get_mut(key) else { return };
-        quick.may_have_run = true;
-        if quick.is_idempotent() {
+        let Some(pending) = self.pending_requests.get_mut(key) else { return };
+        pending.may_have_run = true;
+        if pending.is_idempotent() {
             return self.retry(now, key, attempt.endpoint_id, RetryReason::Failed);
         }
         let detail = format_compact!("the endpoint failed while it ran: {why}");
-        self.settle(now, key, ClaimOutcome::Unknown, ControlToken::Nobody);
+        self.settle(now, key, ClaimOutcome::Unknown, ControlToken::NoReply);
         self.refuse(now, key, refusal(ErrorKind::OutcomeUnknown, detail));
     }
 
@@ -359,9 +363,9 @@
         let Some(class) = self.endpoints.get(endpoint).map(|it| it.class.clone()) else { return };
         let out_permille = self.endpoints.out_permille(&class, endpoint, now);
         if let Some(it) = self.endpoints.get_mut(endpoint) {
-            let was_out = it.ejection.is_out();
+            let was_out = it.ejection.is_ejected_or_probing();
             it.ejection.note_failure(now.mono_ms, out_permille);
-            if it.ejection.is_out() && !was_out {
+            if it.ejection.is_ejected_or_probing() && !was_out {
                 self.metrics.ejections.inc();
             }
         }
@@ -375,24 +379,24 @@
         failed: EndpointId,
         reason: RetryReason,
     ) {
-        let Some(quick) = self.quicks.get_mut(key) else { return };
-        quick.tried.push(failed);
-        if !quick.attempts.is_empty() {
+        let Some(pending) = self.pending_requests.get_mut(key) else { return };
+        pending.tried_endpoints.push(failed);
+        if !pending.attempts.is_empty() {
             return;
         }
-        if quick.token.is_none() {
+        if pending.token.is_none() {
             // Its caller was told already; nothing new is begun for it.
             return self.give_up(now, key, ErrorKind::DeadlineExpiredQueued);
         }
-        if self.options.settings.attempts_max <= quick.attempts_made {
+        if self.options.settings.attempts_max <= pending.attempts_made {
             return self.give_up(now, key, ErrorKind::AttemptsExhausted);
         }
         if !self.budget.try_spend() {
             return self.give_up(now, key, ErrorKind::RetryBudgetExhausted);
         }
-        self.metrics.retried(reason);
-        quick.stage = Stage::Waiting;
-        if !self.endpoints.has_open(&quick.quick.class) {
+        self.metrics.count_retry(reason);
+        pending.stage = Stage::Waiting;
+        if !self.endpoints.has_open(&pending.caller_request.class) {
             self.give_up(now, key, ErrorKind::NoEndpoint)
         } else if !self.try_begin(now, key) {
             self.enqueue(now, key);
@@ -401,9 +405,9 @@
 
     /// Gives the final answer to a request that is not tried again.
     pub(super) fn give_up(&mut self, now: Now, key: PendingRequestKey, kind: ErrorKind) {
-        let Some(quick) = self.quicks.get(key) else { return };
-        let tried = quick.attempts_made;
-        let last = quick
+        let Some(pending) = self.pending_requests.get(key) else { return };
+        let tried = pending.attempts_made;
+        let last = pending
             .last_refusal
             .map(|it| format_compact!(", the last refused as {it}"))
             .unwrap_or_default();
@@ -417,18 +421,20 @@
     /// "Not run" must be true of the idempotency key, not only of this sending: before it is said
     /// of a key, its claim is settled, or looked up where this request does not hold it.
     pub(super) fn refuse(&mut self, now: Now, key: PendingRequestKey, refusal: Refusal) {
-        let Some(quick) = self.quicks.get(key) else { return };
-        if let Some(it) = quick.error_answer.clone() {
+        let Some(pending) = self.pending_requests.get(key) else { return };
+        if let Some(it) = pending.error_answer.clone() {
             return self.pass_on(now, key, it);
         }
         let mut refusal = refusal;
-        if quick.may_have_run && answer_of(refusal.kind).ran == ExecutionStatus::No {
+        if pending.may_have_run
+            && answer_for_error(refusal.kind).execution == ExecutionStatus::NotExecuted
+        {
             // Whatever ended it, an earlier attempt may have run.
             refusal.kind = ErrorKind::EndpointFailed;
         }
-        let says_not_run = answer_of(refusal.kind).ran == ExecutionStatus::No;
-        let is_checked = matches!(quick.stage, Stage::Checking { .. });
-        if says_not_run && !quick.is_idempotent() && !is_checked {
+        let says_not_run = answer_for_error(refusal.kind).execution == ExecutionStatus::NotExecuted;
+        let is_checked = matches!(pending.stage, Stage::Checking { .. });
+        if says_not_run && !pending.is_idempotent() && !is_checked {
             return self.check_key(now, key, refusal);
         }
         self.finish(now, key, CallerAnswer::Refused(refusal));
@@ -437,23 +443,23 @@
     /// Ends a request, and lets the next one of its class have its place.
     pub(super) fn finish(&mut self, now: Now, key: PendingRequestKey, answer: CallerAnswer) {
         self.leave_stage(key);
-        let Some(quick) = self.quicks.remove(key) else { return };
-        self.by_request.remove(&quick.request);
-        if !quick.is_idempotent() {
+        let Some(pending) = self.pending_requests.remove(key) else { return };
+        self.by_request.remove(&pending.request);
+        if !pending.is_idempotent() {
             // An agent that was asked for it may never answer.
-            self.asked.retain(|_, it| *it != key);
+            self.outcome_queries.retain(|_, it| *it != key);
         }
-        if let Some(it) = self.by_team.get_mut(&quick.team) {
+        if let Some(it) = self.by_team.get_mut(&pending.team) {
             *it -= 1;
             if *it == 0 {
-                self.by_team.remove(&quick.team);
+                self.by_team.remove(&pending.team);
             }
         }
-        for it in &quick.attempts {
+        for it in &pending.attempts {
             self.endpoints.note_ended(it.endpoint);
         }
-        let class = &quick.quick.class;
-        if let Some(token) = quick.token {
+        let class = &pending.caller_request.class;
+        if let Some(token) = pending.token {
             self.answer(token, answer);
         }
         self.pump(now, class);
@@ -461,11 +467,11 @@
 
     /// Gives back what a request holds in its stage: its place in the queue, or on an endpoint.
     pub(super) fn leave_stage(&mut self, key: PendingRequestKey) {
-        let Some(quick) = self.quicks.get(key) else { return };
-        match quick.stage {
+        let Some(pending) = self.pending_requests.get(key) else { return };
+        match pending.stage {
             Stage::Claiming { endpoint } => self.endpoints.note_ended(endpoint),
             Stage::Waiting => {
-                if let Some(line) = self.lines.get_mut(&quick.quick.class) {
+                if let Some(line) = self.class_queues.get_mut(&pending.caller_request.class) {
                     line.queue.remove(key);
                 }
             }
--- a/src/entry/core/claims.rs
+++ b/src/entry/core/claims.rs
@@ -27,22 +27,23 @@
 impl EntryCore {
     /// Claims a request's key for an endpoint already counted.
     pub(super) fn claim(&mut self, now: Now, key: PendingRequestKey, endpoint: EndpointKey) {
-        let (Some(quick), Some(target)) = (self.quicks.get_mut(key), self.endpoints.get(endpoint))
+        let (Some(pending), Some(target)) =
+            (self.pending_requests.get_mut(key), self.endpoints.get(endpoint))
         else {
             return;
         };
-        quick.stage = Stage::Claiming { endpoint };
+        pending.stage = Stage::Claiming { endpoint };
         let command = ClaimCommand {
-            team: quick.team.clone(),
-            key: quick.key(),
-            digest: quick.digest,
-            attempt: quick.claim_attempt + 1,
-            request: quick.request,
+            team: pending.team.clone(),
+            key: pending.key(),
+            digest: pending.digest,
+            attempt: pending.claim_attempt + 1,
+            request: pending.request,
             entry: self.options.address,
             endpoint: target.id,
             agent: target.agent,
         };
-        let deadline_ms = quick.deadline_ms + STALE_MS;
+        let deadline_ms = pending.deadline_ms + STALE_MS;
         let operation = Operation::Propose(Command::Claim(command));
         self.client.call(now, operation, deadline_ms, ControlToken::Claim(key));
     }
@@ -52,15 +53,15 @@
     /// Control's answer decides: another sending of the key may have taken the claim over.
     pub(super) fn check_key(&mut self, now: Now, key: PendingRequestKey, refusal: Refusal) {
         self.leave_stage(key);
-        let Some(quick) = self.quicks.get_mut(key) else { return };
-        quick.stage = Stage::Checking { refusal };
+        let Some(pending) = self.pending_requests.get_mut(key) else { return };
+        pending.stage = Stage::Checking { refusal };
         // A deadline that has passed already leaves a moment for the answer.
-        quick.deadline_ms = quick.deadline_ms.max(now.mono_ms + STALE_MS);
-        let deadline_ms = quick.deadline_ms;
-        if 0 < quick.claim_attempt {
+        pending.deadline_ms = pending.deadline_ms.max(now.mono_ms + STALE_MS);
+        let deadline_ms = pending.deadline_ms;
+        if 0 < pending.claim_attempt {
             self.settle(now, key, ClaimOutcome::NotRun, ControlToken::Claim(key));
         } else {
-            let query = ClaimQuery { team: quick.team.clone(), key: quick.key() };
+            let query = ClaimQuery { team: pending.team.clone(), key: pending.key() };
             let operation = Operation::Query(Query::Claim(query));
             self.client.call(now, operation, deadline_ms, ControlToken::Claim(key));
         }
@@ -69,8 +70,8 @@
 
     /// Takes in the state of a request's claim.
     pub(super) fn on_claim(&mut self, now: Now, key: PendingRequestKey, outcome: ReplyResult) {
-        let Some(quick) = self.quicks.get_mut(key) else { return };
-        if let Stage::Checking { refusal } = &quick.stage {
+        let Some(pending) = self.pending_requests.get_mut(key) else { return };
+        if let Stage::Checking { refusal } = &pending.stage {
             let refusal = refusal.clone();
             let is_free = match &outcome {
                 Ok(Reply::Claim(it)) => it.state == ClaimState::NotRun,
@@ -88,21 +89,21 @@
             Err(it) if it.kind == ErrorKind::ClaimInProgress => return self.follow(now, key, None),
             Err(it) => return self.refuse(now, key, it),
         };
-        if claim.digest != quick.digest {
+        if claim.digest != pending.digest {
             // Never another request's answer.
-            let detail = format_compact!("key {} names another request", quick.key());
+            let detail = format_compact!("key {} names another request", pending.key());
             let refusal = refusal(ErrorKind::KeyReused, detail);
             return self.finish(now, key, CallerAnswer::Refused(refusal));
         }
-        let next = quick.claim_attempt + 1;
-        let is_own = claim.request == quick.request && claim.state == ClaimState::Claimed;
-        match (&quick.stage, claim.state.clone()) {
+        let next = pending.claim_attempt + 1;
+        let is_own = claim.request == pending.request && claim.state == ClaimState::Claimed;
+        match (&pending.stage, claim.state.clone()) {
             (Stage::Claiming { endpoint }, ClaimState::Claimed)
                 if is_own && claim.attempt == next =>
             {
                 let endpoint = *endpoint;
-                quick.claim_attempt = next;
-                if quick.token.is_none() {
+                pending.claim_attempt = next;
+                if pending.token.is_none() {
                     // Its caller was told that it was not run.
                     return self.give_up_following(now, key);
                 }
@@ -130,9 +131,9 @@
             (_, ClaimState::NotRun) => {
                 // Free again: this request goes on where the other stopped.
                 self.release_claiming(key);
-                let Some(quick) = self.quicks.get_mut(key) else { return };
-                quick.claim_attempt = claim.attempt;
-                quick.stage = Stage::Waiting;
+                let Some(pending) = self.pending_requests.get_mut(key) else { return };
+                pending.claim_attempt = claim.attempt;
+                pending.stage = Stage::Waiting;
                 if !self.try_begin(now, key) {
                     let detail = "no endpoint is free for it now";
                     self.finish(
@@ -153,16 +154,17 @@
     /// once it is so old that its entry may be gone.
     fn follow(&mut self, now: Now, key: PendingRequestKey, claim: Option<&Claim>) {
         self.release_claiming(key);
-        let Some(quick) = self.quicks.get_mut(key) else { return };
-        let asked_ms = match quick.stage {
-            Stage::Following { asked_ms, .. } => asked_ms,
+        let Some(pending) = self.pending_requests.get_mut(key) else { return };
+        let asked_ms = match pending.stage {
+            Stage::Following { query_sent_ms: asked_ms, .. } => asked_ms,
             _ => None,
         };
-        let is_stale = quick.arrived_ms + STALE_MS <= now.mono_ms;
+        let is_stale = pending.arrived_ms + STALE_MS <= now.mono_ms;
         let asked_lately = asked_ms.is_some_and(|it| now.mono_ms < it + ASK_AGAIN_MS);
         let ask = claim.filter(|_| is_stale && !asked_lately);
         let asked_ms = if ask.is_some() { Some(now.mono_ms) } else { asked_ms };
-        quick.stage = Stage::Following { next_lookup_ms: now.mono_ms + LOOK_MS, asked_ms };
+        pending.stage =
+            Stage::Following { next_lookup_ms: now.mono_ms + LOOK_MS, query_sent_ms: asked_ms };
         self.schedule(now.mono_ms + LOOK_MS, key);
         if let Some(it) = ask {
             self.ask_agent_of(key, it);
@@ -170,23 +172,24 @@
     }
 
     fn release_claiming(&mut self, key: PendingRequestKey) {
-        if let Some(Stage::Claiming { endpoint }) = self.quicks.get(key).map(|it| it.stage.clone())
+        if let Some(Stage::Claiming { endpoint }) =
+            self.pending_requests.get(key).map(|it| it.stage.clone())
         {
             self.endpoints.note_ended(endpoint);
-            if let Some(quick) = self.quicks.get_mut(key) {
-                quick.stage = Stage::Waiting;
+            if let Some(pending) = self.pending_requests.get_mut(key) {
+                pending.stage = Stage::Waiting;
             }
         }
     }
 
     /// Asks control how the claim stands now.
     pub(super) fn look_at_claim(&mut self, now: Now, key: PendingRequestKey) {
-        let Some(quick) = self.quicks.get_mut(key) else { return };
-        if let Stage::Following { next_lookup_ms, .. } = &mut quick.stage {
-            *next_lookup_ms = quick.deadline_ms;
+        let Some(pending) = self.pending_requests.get_mut(key) else { return };
+        if let Stage::Following { next_lookup_ms, .. } = &mut pending.stage {
+            *next_lookup_ms = pending.deadline_ms;
         }
-        let query = ClaimQuery { team: quick.team.clone(), key: quick.key() };
-        let deadline_ms = quick.deadline_ms;
+        let query = ClaimQuery { team: pending.team.clone(), key: pending.key() };
+        let deadline_ms = pending.deadline_ms;
         let operation = Operation::Query(Query::Claim(query));
         self.client.call(now, operation, deadline_ms, ControlToken::Claim(key));
     }
@@ -196,7 +199,7 @@
     /// An attempt that the agent has not seen by then never runs there, even if the holder's
     /// message is still on its way; so whoever asks may go on.
     fn ask_agent_of(&mut self, key: PendingRequestKey, claim: &Claim) {
-        self.asked.insert((claim.request, claim.attempt), key);
+        self.outcome_queries.insert((claim.request, claim.attempt), key);
         let query = OutcomeQuery {
             request: claim.request,
             attempt: claim.attempt,
@@ -208,10 +211,10 @@
 
     /// Asks the agents of a request's own attempts what became of them.
     pub(super) fn ask_own(&mut self, now: Now, key: PendingRequestKey) {
-        let Some(quick) = self.quicks.get_mut(key) else { return };
-        quick.stage = Stage::InFlight { next_action_ms: now.mono_ms + ASK_MS };
-        let request = quick.request;
-        let attempts = quick.attempts.clone();
+        let Some(pending) = self.pending_requests.get_mut(key) else { return };
+        pending.stage = Stage::InFlight { next_action_ms: now.mono_ms + ASK_MS };
+        let request = pending.request;
+        let attempts = pending.attempts.clone();
         for it in attempts {
             let Some(to) = self.endpoints.get(it.endpoint).map(|it| it.agent) else { continue };
             let query = OutcomeQuery {
@@ -240,21 +243,21 @@
             ExecuteOutcome::Refused(_) | ExecuteOutcome::NotSeen => ClaimOutcome::NotRun,
             ExecuteOutcome::Running => return,
         };
-        let Some(quick) = self.quicks.get(key) else { return };
+        let Some(pending) = self.pending_requests.get(key) else { return };
         let command = SettleCommand {
-            team: quick.team.clone(),
-            key: quick.key(),
+            team: pending.team.clone(),
+            key: pending.key(),
             attempt: it.attempt,
             outcome,
         };
-        let deadline_ms = quick.deadline_ms;
+        let deadline_ms = pending.deadline_ms;
         let operation = Operation::Propose(Command::Settle(command));
         self.client.call(now, operation, deadline_ms, ControlToken::Claim(key));
     }
 
     /// Records the answer of a request's own attempt.
     pub(super) fn settle_done(&mut self, now: Now, key: PendingRequestKey, answer: &Answer) {
-        self.settle(now, key, ClaimOutcome::Done(stored(answer)), ControlToken::Nobody);
+        self.settle(now, key, ClaimOutcome::Done(stored(answer)), ControlToken::NoReply);
     }
 
     /// Records how a request's own attempt ended.
@@ -265,11 +268,13 @@
         outcome: ClaimOutcome,
         token: ControlToken,
     ) {
-        let Some(quick) = self.quicks.get(key).filter(|it| 0 < it.claim_attempt) else { return };
+        let Some(pending) = self.pending_requests.get(key).filter(|it| 0 < it.claim_attempt) else {
+            return;
+        };
         let command = SettleCommand {
-            team: quick.team.clone(),
-            key: quick.key(),
-            attempt: quick.claim_attempt,
+            team: pending.team.clone(),
+            key: pending.key(),
+            attempt: pending.claim_attempt,
             outcome,
         };
         let deadline_ms = now.mono_ms + u64::from(self.options.settings.operation_max_ms);
@@ -278,12 +283,12 @@
 
     /// Ends a request whose caller has been answered.
     pub(super) fn give_up_following(&mut self, now: Now, key: PendingRequestKey) {
-        let Some(quick) = self.quicks.get(key) else { return };
-        let outcome = match quick.stage {
+        let Some(pending) = self.pending_requests.get(key) else { return };
+        let outcome = match pending.stage {
             Stage::InFlight { .. } => ClaimOutcome::Unknown,
             _ => ClaimOutcome::NotRun,
         };
-        self.settle(now, key, outcome, ControlToken::Nobody);
+        self.settle(now, key, outcome, ControlToken::NoReply);
         let unused = refusal(ErrorKind::OutcomeUnknown, "answered before");
         self.finish(now, key, CallerAnswer::Refused(unused));
     }
--- a/src/entry/core/mod.rs
+++ b/src/entry/core/mod.rs
@@ -58,7 +58,7 @@
     pub name: CompactString,
     pub zone: CompactString,
     pub address: SocketAddr,
-    pub controls: Vec<SocketAddr>,
+    pub control_addresses: Vec<SocketAddr>,
     pub settings: EntrySettings,
     /// Random number of this process.
     pub boot: u64,
@@ -72,7 +72,7 @@
     /// A claim, a settlement or a look at a claim, for a quick request.
     Claim(PendingRequestKey),
     /// Nobody waits for it.
-    Nobody,
+    NoReply,
 }
 
 /// A poll that is held until there is something to tell.
@@ -97,14 +97,14 @@
     metrics: Arc<Metrics>,
     random: fastrand::Rng,
     pub(super) client: ControlClient<ControlToken>,
-    adopted: AdoptedConfiguration,
+    configuration: AdoptedConfiguration,
     pub(super) endpoints: Endpoints,
-    pub(super) quicks: SlotMap<PendingRequestKey, PendingRequest>,
+    pub(super) pending_requests: SlotMap<PendingRequestKey, PendingRequest>,
     by_request: HashMap<RequestId, PendingRequestKey>,
     /// Attempts of other requests that agents were asked about, by who asked.
-    pub(super) asked: HashMap<(RequestId, u32), PendingRequestKey>,
+    pub(super) outcome_queries: HashMap<(RequestId, u32), PendingRequestKey>,
     timers: BTreeSet<(u64, PendingRequestKey)>,
-    lines: BTreeMap<CompactString, ClassQueue>,
+    class_queues: BTreeMap<CompactString, ClassQueue>,
     by_team: HashMap<CompactString, u32>,
     polls: BTreeMap<u64, Poll>,
     budget: RetryBudget,
@@ -122,17 +122,21 @@
     pub fn new(options: EntryOptions, metrics: Arc<Metrics>) -> EntryCore {
         EntryCore {
             random: fastrand::Rng::with_seed(options.boot),
-            client: ControlClient::new(options.address, options.controls.clone(), options.boot),
+            client: ControlClient::new(
+                options.address,
+                options.control_addresses.clone(),
+                options.boot,
+            ),
             budget: RetryBudget::new(options.settings.retry_budget_permille),
             options,
             metrics,
-            adopted: AdoptedConfiguration::new(),
+            configuration: AdoptedConfiguration::new(),
             endpoints: Endpoints::default(),
-            quicks: SlotMap::with_key(),
+            pending_requests: SlotMap::with_key(),
             by_request: HashMap::new(),
-            asked: HashMap::new(),
+            outcome_queries: HashMap::new(),
             timers: BTreeSet::new(),
-            lines: BTreeMap::new(),
+            class_queues: BTreeMap::new(),
             by_team: HashMap::new(),
             polls: BTreeMap::new(),
             next_request: 0,
@@ -147,23 +151,23 @@
 
     /// Returns the configuration revision in force here.
     pub fn in_force(&self) -> Revision {
-        self.adopted.revision()
+        self.configuration.revision()
     }
 
     /// Returns whether callers may be sent here: it has a configuration and is not stopping.
     pub fn is_ready(&self) -> bool {
-        Revision(0) < self.adopted.revision() && !self.draining
+        Revision(0) < self.configuration.revision() && !self.draining
     }
 
     /// Returns whether a planned stop has nothing left to wait for.
     pub fn is_drained(&self) -> bool {
-        let owed = self.quicks.values().any(|it| it.token.is_some());
+        let owed = self.pending_requests.values().any(|it| it.token.is_some());
         self.draining && !owed && self.polls.is_empty() && self.operations == 0
     }
 
     /// Returns the quick requests under way.
     pub fn in_flight(&self) -> usize {
-        self.quicks.len()
+        self.pending_requests.len()
     }
 
     /// Returns when the next [`Input::Tick`] is due.
@@ -194,8 +198,10 @@
     pub fn handle(&mut self, now: Now, input: Input) {
         match input {
             Input::Message { from, in_force, message } => {
-                if let Some(question) = self.adopted.question(now, in_force, self.options.address) {
-                    self.send(from, question);
+                if let Some(config_fetch) =
+                    self.configuration.config_fetch(now, in_force, self.options.address)
+                {
+                    self.send(from, config_fetch);
                 }
                 self.on_message(now, message);
             }
@@ -216,7 +222,7 @@
 
     pub(super) fn answer(&mut self, token: u64, answer: CallerAnswer) {
         if let CallerAnswer::Refused(it) = &answer {
-            self.metrics.refused(it.kind);
+            self.metrics.count_refusal(it.kind);
         }
         self.effects.push(Effect::Answer { token, answer });
     }
@@ -254,9 +260,9 @@
         let Some(to) = self.client.target() else { return };
         self.unanswered_heartbeats += 1;
         let latencies =
-            self.lines.iter().filter(|(_, it)| !it.answers.is_empty()).map(|(class, it)| {
+            self.class_queues.iter().filter(|(_, it)| !it.answers.is_empty()).map(|(class, it)| {
                 let permille =
-                    self.adopted.class(class).map_or(990, |it| it.answer_percentile_permille);
+                    self.configuration.class(class).map_or(990, |it| it.answer_percentile_permille);
                 ClassLatency {
                     class: class.clone(),
                     answers: it.answers.len() as u32,
@@ -269,7 +275,7 @@
             zone: self.options.zone.clone(),
             boot: self.options.boot,
             reply_to: self.options.address,
-            in_force: self.adopted.revision(),
+            in_force: self.configuration.revision(),
             directory_epoch: self.endpoints.epoch,
             directory_version: self.endpoints.version,
             latencies: latencies.collect(),
@@ -277,7 +283,7 @@
         self.latency_age += 1;
         if LATENCY_HEARTBEATS <= self.latency_age {
             self.latency_age = 0;
-            self.lines.values_mut().for_each(|it| it.answers.reset());
+            self.class_queues.values_mut().for_each(|it| it.answers.reset());
         }
         self.send(to, Message::EntryHeartbeat(heartbeat));
     }
@@ -293,7 +299,7 @@
             Message::EntryHeartbeatReply(it) if it.boot == self.options.boot => {
                 self.unanswered_heartbeats = 0;
                 if let Some(news) = it.configuration {
-                    self.adopted.adopt(news);
+                    self.configuration.adopt(news);
                 }
                 if let Some(update) = it.directory {
                     let zone = self.options.zone.clone();
@@ -307,9 +313,9 @@
                 self.heartbeat_at_ms = self.heartbeat_at_ms.min(now.mono_ms + HEARTBEAT_MS / 5);
             }
             Message::EndpointLeaving(it) => self.endpoints.note_leaving(it.endpoint),
-            Message::ConfigUpdate(it) => self.adopted.adopt_from_peer(it),
+            Message::ConfigUpdate(it) => self.configuration.adopt_from_peer(it),
             Message::ConfigFetch(it) => {
-                let update = Message::ConfigUpdate(self.adopted.current().clone());
+                let update = Message::ConfigUpdate(self.configuration.current().clone());
                 self.send(it.reply_to, update);
             }
             _ => (),
@@ -317,7 +323,7 @@
     }
 
     fn on_request(&mut self, now: Now, token: u64, team: CompactString, request: CallerRequest) {
-        let open = self.quicks.len() + self.polls.len() + self.operations;
+        let open = self.pending_requests.len() + self.polls.len() + self.operations;
         let request = match (self.check_request_limit(open), request) {
             // A keyed request that cannot be served has its key looked up first.
             (busy, CallerRequest::Quick(it)) => {
@@ -379,7 +385,7 @@
             }
             ControlToken::Poll(token) => self.on_poll_reply(now, token, outcome),
             ControlToken::Claim(key) => self.on_claim(now, key, outcome),
-            ControlToken::Nobody => (),
+            ControlToken::NoReply => (),
         }
     }
 }
--- a/src/entry/endpoints.rs
+++ b/src/entry/endpoints.rs
@@ -48,9 +48,9 @@
         EndpointView {
             slots: self.slots,
             own_in_flight: self.in_flight,
-            reported: self.reported,
+            reported_in_flight: self.reported,
             report_age_ms: now.mono_ms.saturating_sub(self.reported_ms),
-            answer_ms: self.answer_time.get_ms(),
+            answer_ms: self.answer_time.mean_ms(),
             same_zone: self.same_zone,
         }
     }
@@ -104,7 +104,7 @@
         let sum: f64 = keys
             .iter()
             .filter_map(|it| self.endpoints.get(*it))
-            .map(|it| it.answer_time.get_ms())
+            .map(|it| it.answer_time.mean_ms())
             .sum();
         if keys.is_empty() { FIRST_GUESS_MS } else { sum / keys.len() as f64 }
     }
--- a/src/entry/pending_request.rs
+++ b/src/entry/pending_request.rs
@@ -29,7 +29,7 @@
     /// Its key is being claimed for this endpoint; nothing is sent before.
     Claiming { endpoint: EndpointKey },
     /// Another request holds the claim of its key; its outcome is looked up from time to time.
-    Following { next_lookup_ms: u64, asked_ms: Option<u64> },
+    Following { next_lookup_ms: u64, query_sent_ms: Option<u64> },
     /// It cannot be served; its key is looked up before that is said.
     Checking { refusal: Refusal },
     /// One or more attempts are under way.
@@ -45,7 +45,7 @@
     pub token: Option<u64>,
     pub request: RequestId,
     pub team: CompactString,
-    pub quick: Arc<QuickRequest>,
+    pub caller_request: Arc<QuickRequest>,
     pub digest: u64,
     pub arrived_ms: u64,
     pub deadline_ms: u64,
@@ -54,7 +54,7 @@
     pub attempts_made: u32,
     /// Attempt of the claim that this request holds.
     pub claim_attempt: u32,
-    pub tried: Vec<EndpointId>,
+    pub tried_endpoints: Vec<EndpointId>,
     /// Whether an attempt may have run without an answer.
     pub may_have_run: bool,
     pub last_refusal: Option<ErrorKind>,
@@ -64,7 +64,7 @@
 
 impl PendingRequest {
     pub(super) fn is_idempotent(&self) -> bool {
-        self.quick.idempotent
+        self.caller_request.idempotent
     }
 
     pub(super) fn left_ms(&self, now: Now) -> u64 {
@@ -72,6 +72,6 @@
     }
 
     pub(super) fn key(&self) -> CompactString {
-        self.quick.key.clone().unwrap_or_default()
+        self.caller_request.key.clone().unwrap_or_default()
     }
 }
--- a/src/error/mod.rs
+++ b/src/error/mod.rs
@@ -50,20 +50,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutionStatus {
     /// It did not run, and no later event makes it run.
-    No,
+    NotExecuted,
     /// It may have run; a non-idempotent request must not be sent under another key.
     Unknown,
     /// It ran.
-    Yes,
+    Executed,
 }
 
 impl ExecutionStatus {
     /// Returns the word used in answers.
     pub fn as_str(self) -> &'static str {
         match self {
-            ExecutionStatus::No => "no",
+            ExecutionStatus::NotExecuted => "no",
             ExecutionStatus::Unknown => "unknown",
-            ExecutionStatus::Yes => "yes",
+            ExecutionStatus::Executed => "yes",
         }
     }
 }
@@ -73,55 +73,55 @@
 pub struct ErrorAnswer {
     pub kind: ErrorKind,
     pub status: u16,
-    pub ran: ExecutionStatus,
+    pub execution: ExecutionStatus,
     /// Whether the same request may succeed later.
     pub retryable: bool,
 }
 
 const fn row(kind: ErrorKind, status: u16, ran: ExecutionStatus, retryable: bool) -> ErrorAnswer {
-    ErrorAnswer { kind, status, ran, retryable }
+    ErrorAnswer { kind, status, execution: ran, retryable }
 }
 
 /// Every kind with its answer, in the order of the schema.
 pub const ERROR_ANSWERS: &[ErrorAnswer] = &[
-    row(ErrorKind::BadRequest, 400, ExecutionStatus::No, false),
-    row(ErrorKind::Unauthenticated, 401, ExecutionStatus::No, false),
-    row(ErrorKind::Forbidden, 403, ExecutionStatus::No, false),
-    row(ErrorKind::NotFound, 404, ExecutionStatus::No, false),
-    row(ErrorKind::MethodNotAllowed, 405, ExecutionStatus::No, false),
-    row(ErrorKind::PayloadTooLarge, 413, ExecutionStatus::No, false),
-    row(ErrorKind::UnknownTeam, 403, ExecutionStatus::No, false),
-    row(ErrorKind::UnknownClass, 400, ExecutionStatus::No, false),
-    row(ErrorKind::WrongClassKind, 400, ExecutionStatus::No, false),
-    row(ErrorKind::DeadlineOutOfRange, 400, ExecutionStatus::No, false),
-    row(ErrorKind::QueueFull, 429, ExecutionStatus::No, true),
-    row(ErrorKind::TeamShareExceeded, 429, ExecutionStatus::No, true),
-    row(ErrorKind::WouldMissDeadline, 503, ExecutionStatus::No, true),
-    row(ErrorKind::NoEndpoint, 503, ExecutionStatus::No, true),
-    row(ErrorKind::EndpointLeaving, 503, ExecutionStatus::No, true),
-    row(ErrorKind::EndpointBusy, 503, ExecutionStatus::No, true),
-    row(ErrorKind::StaleSession, 503, ExecutionStatus::No, true),
-    row(ErrorKind::Draining, 503, ExecutionStatus::No, true),
-    row(ErrorKind::RetryBudgetExhausted, 503, ExecutionStatus::No, true),
-    row(ErrorKind::DeadlineExpiredQueued, 504, ExecutionStatus::No, true),
-    row(ErrorKind::AttemptsExhausted, 503, ExecutionStatus::No, true),
+    row(ErrorKind::BadRequest, 400, ExecutionStatus::NotExecuted, false),
+    row(ErrorKind::Unauthenticated, 401, ExecutionStatus::NotExecuted, false),
+    row(ErrorKind::Forbidden, 403, ExecutionStatus::NotExecuted, false),
+    row(ErrorKind::NotFound, 404, ExecutionStatus::NotExecuted, false),
+    row(ErrorKind::MethodNotAllowed, 405, ExecutionStatus::NotExecuted, false),
+    row(ErrorKind::PayloadTooLarge, 413, ExecutionStatus::NotExecuted, false),
+    row(ErrorKind::UnknownTeam, 403, ExecutionStatus::NotExecuted, false),
+    row(ErrorKind::UnknownClass, 400, ExecutionStatus::NotExecuted, false),
+    row(ErrorKind::WrongClassKind, 400, ExecutionStatus::NotExecuted, false),
+    row(ErrorKind::DeadlineOutOfRange, 400, ExecutionStatus::NotExecuted, false),
+    row(ErrorKind::QueueFull, 429, ExecutionStatus::NotExecuted, true),
+    row(ErrorKind::TeamShareExceeded, 429, ExecutionStatus::NotExecuted, true),
+    row(ErrorKind::WouldMissDeadline, 503, ExecutionStatus::NotExecuted, true),
+    row(ErrorKind::NoEndpoint, 503, ExecutionStatus::NotExecuted, true),
+    row(ErrorKind::EndpointLeaving, 503, ExecutionStatus::NotExecuted, true),
+    row(ErrorKind::EndpointBusy, 503, ExecutionStatus::NotExecuted, true),
+    row(ErrorKind::StaleSession, 503, ExecutionStatus::NotExecuted, true),
+    row(ErrorKind::Draining, 503, ExecutionStatus::NotExecuted, true),
+    row(ErrorKind::RetryBudgetExhausted, 503, ExecutionStatus::NotExecuted, true),
+    row(ErrorKind::DeadlineExpiredQueued, 504, ExecutionStatus::NotExecuted, true),
+    row(ErrorKind::AttemptsExhausted, 503, ExecutionStatus::NotExecuted, true),
     row(ErrorKind::OutcomeUnknown, 502, ExecutionStatus::Unknown, false),
     row(ErrorKind::AnswerLate, 504, ExecutionStatus::Unknown, true),
     row(ErrorKind::EndpointFailed, 502, ExecutionStatus::Unknown, true),
     row(ErrorKind::ControlUnavailable, 503, ExecutionStatus::Unknown, true),
-    row(ErrorKind::NotLeader, 503, ExecutionStatus::No, true),
-    row(ErrorKind::DiskFull, 507, ExecutionStatus::No, true),
-    row(ErrorKind::TableFull, 429, ExecutionStatus::No, true),
-    row(ErrorKind::QuotaExceeded, 429, ExecutionStatus::No, true),
-    row(ErrorKind::Infeasible, 422, ExecutionStatus::No, false),
-    row(ErrorKind::RevisionConflict, 409, ExecutionStatus::No, false),
-    row(ErrorKind::KeyReused, 422, ExecutionStatus::No, false),
+    row(ErrorKind::NotLeader, 503, ExecutionStatus::NotExecuted, true),
+    row(ErrorKind::DiskFull, 507, ExecutionStatus::NotExecuted, true),
+    row(ErrorKind::TableFull, 429, ExecutionStatus::NotExecuted, true),
+    row(ErrorKind::QuotaExceeded, 429, ExecutionStatus::NotExecuted, true),
+    row(ErrorKind::Infeasible, 422, ExecutionStatus::NotExecuted, false),
+    row(ErrorKind::RevisionConflict, 409, ExecutionStatus::NotExecuted, false),
+    row(ErrorKind::KeyReused, 422, ExecutionStatus::NotExecuted, false),
     row(ErrorKind::ClaimInProgress, 409, ExecutionStatus::Unknown, true),
-    row(ErrorKind::AlreadyFinished, 409, ExecutionStatus::No, false),
-    row(ErrorKind::MembershipUnsafe, 409, ExecutionStatus::No, true),
-    row(ErrorKind::CursorTooOld, 410, ExecutionStatus::No, false),
-    row(ErrorKind::VersionUnsupported, 426, ExecutionStatus::No, false),
-    row(ErrorKind::ShuttingDown, 503, ExecutionStatus::No, true),
+    row(ErrorKind::AlreadyFinished, 409, ExecutionStatus::NotExecuted, false),
+    row(ErrorKind::MembershipUnsafe, 409, ExecutionStatus::NotExecuted, true),
+    row(ErrorKind::CursorTooOld, 410, ExecutionStatus::NotExecuted, false),
+    row(ErrorKind::VersionUnsupported, 426, ExecutionStatus::NotExecuted, false),
+    row(ErrorKind::ShuttingDown, 503, ExecutionStatus::NotExecuted, true),
     row(ErrorKind::Internal, 500, ExecutionStatus::Unknown, true),
 ];
 
@@ -133,7 +133,7 @@
 /// let row = answer_of(ErrorKind::QueueFull);
 /// assert_eq!((row.status, row.ran, row.retryable), (429, Ran::No, true));
 /// ```
-pub fn answer_of(kind: ErrorKind) -> ErrorAnswer {
+pub fn answer_for_error(kind: ErrorKind) -> ErrorAnswer {
     // The table is in the order of the enum; a test holds the two together.
     ERROR_ANSWERS[kind as usize]
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -50,9 +50,9 @@
 /// The final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GatewayAnswer {
-    Told(WorkflowOutcome),
+    Outcome(WorkflowOutcome),
     /// It was not taken and never will be; the time after which to ask again.
-    NotTaken {
+    Rejected {
         cause: RejectionCause,
         retry_after_ms: u64,
     },
@@ -194,7 +194,7 @@
 
     fn begin(&mut self, now: Now, token: u64, request: WorkflowRequest, wait_ms: u64) {
         if self.options.calls_max <= self.calls.len() {
-            let answer = GatewayAnswer::NotTaken {
+            let answer = GatewayAnswer::Rejected {
                 cause: RejectionCause::TooManyCalls,
                 retry_after_ms: self.options.resend_ms,
             };
@@ -288,18 +288,18 @@
             return;
         }
         let answer = match it.outcome {
-            WorkflowOutcome::NoConfig => GatewayAnswer::NotTaken {
+            WorkflowOutcome::NoConfig => GatewayAnswer::Rejected {
                 cause: RejectionCause::NoConfig,
                 retry_after_ms: self.options.resend_ms,
             },
             WorkflowOutcome::Busy(retry_after_ms) => {
-                GatewayAnswer::NotTaken { cause: RejectionCause::Busy, retry_after_ms }
+                GatewayAnswer::Rejected { cause: RejectionCause::Busy, retry_after_ms }
             }
-            WorkflowOutcome::Unserved => GatewayAnswer::NotTaken {
+            WorkflowOutcome::Unserved => GatewayAnswer::Rejected {
                 cause: RejectionCause::Unserved,
                 retry_after_ms: UNSERVED_PAUSE_MS,
             },
-            told => GatewayAnswer::Told(told),
+            told => GatewayAnswer::Outcome(told),
         };
         self.end(now, it.id, answer);
     }
@@ -370,7 +370,7 @@
             let is_unsure = self.calls.get(&id).is_some_and(|it| it.may_have_been_taken());
             let answer = match is_unsure {
                 true => GatewayAnswer::Unknown,
-                false => GatewayAnswer::NotTaken {
+                false => GatewayAnswer::Rejected {
                     cause: RejectionCause::NoLeader,
                     retry_after_ms: self.options.give_up_ms / 2,
                 },
@@ -463,7 +463,7 @@
         WorkflowRequest::Ping => ("ping", ""),
     };
     match answer {
-        GatewayAnswer::Told(WorkflowOutcome::Config(it)) => {
+        GatewayAnswer::Outcome(WorkflowOutcome::Config(it)) => {
             tracing::info!(
                 event = "request_answered",
                 kind,
@@ -472,10 +472,10 @@
                 sends = call.sends
             );
         }
-        GatewayAnswer::Told(outcome) => {
+        GatewayAnswer::Outcome(outcome) => {
             tracing::info!(event = "request_answered", kind, target, outcome = ?outcome, took_ms, sends = call.sends);
         }
-        GatewayAnswer::NotTaken { cause, .. } => {
+        GatewayAnswer::Rejected { cause, .. } => {
             tracing::warn!(event = "request_refused", kind, target, cause = ?cause, took_ms, sends = call.sends, leader = ?call.sent_to);
         }
         GatewayAnswer::Unknown => {
--- a/src/http/answer.rs
+++ b/src/http/answer.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-use crate::{error::answer_of, prelude::*};
+use crate::{error::answer_for_error, prelude::*};
 
 /// An answer to an HTTP request.
 #[derive(Clone, Debug, PartialEq)]
@@ -31,11 +31,11 @@
 
     /// Makes the answer to a refusal, by the one table.
     pub fn refusal(it: &Refusal) -> HttpAnswer {
-        let row = answer_of(it.kind);
+        let row = answer_for_error(it.kind);
         let body = json!({
             "error": it.kind,
             "detail": it.detail,
-            "ran": row.ran.as_str(),
+            "ran": row.execution.as_str(),
             "retryable": row.retryable,
             "retry_after_ms": it.retry_after_ms,
         });
--- a/src/link/client.rs
+++ b/src/link/client.rs
@@ -91,7 +91,7 @@
             match queue.try_send(envelope) {
                 Ok(()) => break,
                 Err(mpsc::error::TrySendError::Full(_)) => {
-                    metrics.link_dropped("queue_full");
+                    metrics.count_dropped_message("queue_full");
                     break;
                 }
                 Err(mpsc::error::TrySendError::Closed(it)) => {
@@ -121,11 +121,11 @@
                     tracing::debug!(event = "link_refused", peer = %peer.address, %error);
                 }
                 // What waited meanwhile is as old as the failure; the cores send anew.
-                peer.metrics.link_dropped("no_connection");
+                peer.metrics.count_dropped_message("no_connection");
                 while queue.try_recv().is_ok() {
-                    peer.metrics.link_dropped("no_connection");
+                    peer.metrics.count_dropped_message("no_connection");
                 }
-                sink.accept(LinkEvent::Lost { peer: peer.address });
+                sink.on_event(LinkEvent::ConnectionLost { peer: peer.address });
                 time::sleep(backoff).await;
                 backoff = (backoff * 2).min(BACKOFF_MAX);
                 continue;
@@ -150,7 +150,7 @@
             Ok(()) => return,
             Err(error) => {
                 tracing::debug!(event = "link_lost", peer = %peer.address, %error);
-                sink.accept(LinkEvent::Lost { peer: peer.address });
+                sink.on_event(LinkEvent::ConnectionLost { peer: peer.address });
             }
         }
     }
@@ -209,7 +209,7 @@
             _ = connection => (),
             () = silent => {
                 tracing::warn!(event = "link_silent", peer = %address, timeout_ms = PING_TIMEOUT.as_millis());
-                metrics.link_silent();
+                metrics.count_silent_link();
             }
         }
         let _ = closing.send(());
@@ -235,7 +235,7 @@
         Ok(it) => it,
         Err(error) => {
             tracing::error!(event = "message_too_large", peer = %peer.address, %error);
-            peer.metrics.link_dropped("too_large");
+            peer.metrics.count_dropped_message("too_large");
             return Ok(());
         }
     };
--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -30,7 +30,7 @@
         envelope: Box<Envelope>,
     },
     /// The connection to a peer broke; what was sent last may be lost.
-    Lost {
+    ConnectionLost {
         peer: SocketAddr,
     },
 }
@@ -38,7 +38,7 @@
 /// Takes in the events of a link; called on the link's thread.
 pub trait LinkSink: Clone + Send + 'static {
     /// Takes in one event.
-    fn accept(&self, event: LinkEvent);
+    fn on_event(&self, event: LinkEvent);
 }
 
 /// What a link is told by the settings.
--- a/src/link/server.rs
+++ b/src/link/server.rs
@@ -90,7 +90,7 @@
                     peer = Some(hello);
                 }
                 Err(error) => {
-                    metrics.refused(ErrorKind::VersionUnsupported);
+                    metrics.count_refusal(ErrorKind::VersionUnsupported);
                     tracing::error!(event = "link_greeting_refused", %error);
                     let refused = http::Response::builder()
                         .status(http::StatusCode::UPGRADE_REQUIRED)
@@ -105,13 +105,13 @@
         let Some(hello) = &peer else { continue };
         loop {
             match frames.next_frame::<Envelope>() {
-                Ok(Some(envelope)) => sink.accept(LinkEvent::Message {
+                Ok(Some(envelope)) => sink.on_event(LinkEvent::Message {
                     from: hello.address,
                     envelope: Box::new(envelope),
                 }),
                 Ok(None) => break,
                 Err(error) => {
-                    metrics.refused(ErrorKind::BadRequest);
+                    metrics.count_refusal(ErrorKind::BadRequest);
                     tracing::error!(event = "link_frame_refused", peer = %hello.process, %error);
                     return;
                 }
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -21,20 +21,23 @@
     /// Its request was answered or given up already.
     Late,
     /// It names no request of this process.
-    Foreign,
+    UnknownRequest,
     /// Its checksum is wrong.
-    Damaged,
+    ChecksumMismatch,
 }
 
 impl AnswerDropReason {
-    const ALL: [AnswerDropReason; 3] =
-        [AnswerDropReason::Late, AnswerDropReason::Foreign, AnswerDropReason::Damaged];
+    const ALL: [AnswerDropReason; 3] = [
+        AnswerDropReason::Late,
+        AnswerDropReason::UnknownRequest,
+        AnswerDropReason::ChecksumMismatch,
+    ];
 
     fn as_str(self) -> &'static str {
         match self {
             AnswerDropReason::Late => "late",
-            AnswerDropReason::Foreign => "foreign",
-            AnswerDropReason::Damaged => "damaged",
+            AnswerDropReason::UnknownRequest => "foreign",
+            AnswerDropReason::ChecksumMismatch => "damaged",
         }
     }
 }
@@ -228,7 +231,7 @@
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, kind: ErrorKind) {
+    pub fn count_refusal(&self, kind: ErrorKind) {
         self.refusals.with_label_values(&[&kind.to_string()]).inc();
     }
 
@@ -238,7 +241,7 @@
     }
 
     /// Counts an attempt after the first.
-    pub fn retried(&self, reason: RetryReason) {
+    pub fn count_retry(&self, reason: RetryReason) {
         self.retries.with_label_values(&[reason.as_str()]).inc();
     }
 
@@ -263,7 +266,7 @@
     }
 
     /// Counts a connection that was given up as silent.
-    pub fn link_silent(&self) {
+    pub fn count_silent_link(&self) {
         self.link_silent.inc();
     }
 
@@ -273,12 +276,12 @@
     }
 
     /// Counts a message that was not sent; `reason` is one of [`LINK_DROP_REASONS`].
-    pub fn link_dropped(&self, reason: &'static str) {
+    pub fn count_dropped_message(&self, reason: &'static str) {
         self.link_dropped.with_label_values(&[reason]).inc();
     }
 
     /// Counts an answer and its time.
-    pub fn answered(&self, class: &str, seconds: f64) {
+    pub fn observe_answer(&self, class: &str, seconds: f64) {
         self.answers.with_label_values(&[class]).observe(seconds);
     }
 
--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Prolongs the lease of all that runs, takes note of ends, and lists what runs.
-    Hold {
+    Poll {
         /// On the worker's clock; without it nothing is prolonged.
         lease_until_ms: Option<u64>,
         acked_cursor: u64,
@@ -33,16 +33,16 @@
         run: RunRef,
     },
     /// Lets a task work at a share of its speed.
-    Pace {
+    Throttle {
         run: RunRef,
-        percent: u32,
+        speed_percent: u32,
     },
 }
 
 /// How a call ended.
 #[derive(Clone, Debug)]
 pub enum CallResult {
-    Held {
+    RunList {
         clock_ms: u64,
         /// Start of the lifetime that answers, where it says so.
         started_unix_ms: Option<u64>,
@@ -58,7 +58,7 @@
         running: Vec<RunningTask>,
         ended: Vec<EndedRun>,
         ended_after_unreadable: Vec<EndedRun>,
-        unreadable: usize,
+        unreadable_rows: usize,
     },
     Done {
         clock_ms: u64,
@@ -105,7 +105,7 @@
     /// A pool of workers that the configuration does not name.
     UnknownService,
     /// No newer than what was said before, or of a lifetime that is over.
-    Late,
+    Outdated,
 }
 
 impl AnnouncementRejection {
@@ -115,7 +115,7 @@
         AnnouncementRejection::Malformed,
         AnnouncementRejection::UnknownState,
         AnnouncementRejection::UnknownService,
-        AnnouncementRejection::Late,
+        AnnouncementRejection::Outdated,
     ];
 
     /// Returns the label of its counter.
@@ -125,7 +125,7 @@
             AnnouncementRejection::Malformed => "malformed",
             AnnouncementRejection::UnknownState => "unknown_state",
             AnnouncementRejection::UnknownService => "foreign_service",
-            AnnouncementRejection::Late => "late",
+            AnnouncementRejection::Outdated => "late",
         }
     }
 }
@@ -152,7 +152,7 @@
 
 impl Announcement {
     /// Returns the name of the lifetime that announces itself.
-    pub fn lifetime(&self) -> CompactString {
+    pub fn incarnation_name(&self) -> CompactString {
         incarnation_name(&self.id, self.started_unix_ms)
     }
 }
--- a/src/node/fillers.rs
+++ b/src/node/fillers.rs
@@ -42,8 +42,8 @@
             Some(TaskRole::Filler(role)) => Some(FillerReading {
                 run: it.run,
                 full_speed_cores: f64::from(role.cpu_millicores) / 1_000.0,
-                used_cores: self.usages.get(&it.run).map_or(0.0, |it| it.usage.cores),
-                costs_percent: costs(&role.image),
+                used_cores: self.filler_usages.get(&it.run).map_or(0.0, |it| it.usage.cores),
+                core_costs_percent: costs(&role.image),
             }),
             _ => None,
         });
@@ -51,7 +51,7 @@
             run,
             full_speed_cores: 0.0,
             used_cores: it.usage.cores,
-            costs_percent: costs(&it.image),
+            core_costs_percent: costs(&it.image),
         });
         running.chain(ended).collect()
     }
@@ -59,7 +59,10 @@
     /// Returns the fillers that have ended, and that tails still tell of.
     fn ended_fillers(&self) -> impl Iterator<Item = (RunRef, &ImageUsage)> {
         let has_ended = |run: RunRef| !self.running.iter().any(|it| it.run == run);
-        self.usages.iter().map(|(run, it)| (*run, it)).filter(move |(run, _)| has_ended(*run))
+        self.filler_usages
+            .iter()
+            .map(|(run, it)| (*run, it))
+            .filter(move |(run, _)| has_ended(*run))
     }
 
     /// Returns what such fillers used, by image.
@@ -78,18 +81,19 @@
     /// Begins to count what a filler uses that has just begun.
     pub(super) fn begin_usage(&mut self, run: RunRef, now: Now) {
         if let Some(TaskRole::Filler(role)) = self.roles.get(&run) {
-            let (image, usage) = (role.image.clone(), CpuUsageWindow::begun(now.mono_ms));
-            self.usages.insert(run, ImageUsage { image, usage });
+            let (image, usage) = (role.image.clone(), CpuUsageWindow::starting_at(now.mono_ms));
+            self.filler_usages.insert(run, ImageUsage { image, usage });
         }
     }
 
     /// Takes in what fillers were read to use.
     fn read_usages(&mut self, now: Now) {
-        let mut usages = std::mem::take(&mut self.usages);
-        usages.values_mut().for_each(|it| it.usage.pass(now.mono_ms));
+        let mut usages = std::mem::take(&mut self.filler_usages);
+        usages.values_mut().for_each(|it| it.usage.expire(now.mono_ms));
         for it in &self.running {
             let Some(TaskRole::Filler(role)) = self.roles.get(&it.run) else { continue };
-            let told = f64::from(self.paces.get(&it.run).copied().unwrap_or(100)) / 100.0;
+            let told =
+                f64::from(self.sent_speed_percents.get(&it.run).copied().unwrap_or(100)) / 100.0;
             let wanted_cores = f64::from(role.cpu_millicores) / 1_000.0 * told;
             let read_cores = f64::from(it.load) / 1_000.0;
             let first =
@@ -97,12 +101,12 @@
             let used = usages.entry(it.run).or_insert_with(first);
             used.usage.observe(read_cores, wanted_cores, now.mono_ms);
         }
-        usages.retain(|_, it| it.usage.counts());
-        self.usages = usages;
+        usages.retain(|_, it| it.usage.affects_tails());
+        self.filler_usages = usages;
     }
 
     /// Decides anew how fast each filler may work.
-    pub(super) fn pace(&mut self, now: Now) {
+    pub(super) fn throttle_fillers(&mut self, now: Now) {
         self.read_usages(now);
         self.update_speeds(|throttler, serving, fillers| {
             throttler.observe(serving, fillers, now.mono_ms)
@@ -126,8 +130,9 @@
             let fillers = self.fillers(&images);
             (serving.into_iter().map(|(it, _)| it).collect::<Vec<_>>(), fillers)
         };
-        let sum =
-            |throttler: &Throttler| fillers.iter().map(|it| throttler.percent(it.run)).sum::<u32>();
+        let sum = |throttler: &Throttler| {
+            fillers.iter().map(|it| throttler.speed_percent(it.run)).sum::<u32>()
+        };
         let before = sum(&self.throttler);
         decide(&mut self.throttler, &readings, &fillers);
         let after = sum(&self.throttler);
@@ -143,11 +148,11 @@
         let is_filler =
             |it: &&RunningTask| matches!(self.roles.get(&it.run), Some(TaskRole::Filler(_)));
         let is_told = |run: RunRef, percent: u32| {
-            self.paces.get(&run).copied().unwrap_or(100) == percent
+            self.sent_speed_percents.get(&run).copied().unwrap_or(100) == percent
                 || self.throttle_calls.values().any(|(it, _)| *it == run)
         };
         let fillers = self.running.iter().filter(is_filler);
-        let paces = fillers.map(|it| (it.run, self.throttler.percent(it.run)));
+        let paces = fillers.map(|it| (it.run, self.throttler.speed_percent(it.run)));
         paces.filter(|(run, percent)| !is_told(*run, *percent)).collect()
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -48,8 +48,8 @@
 /// What a node is told.
 #[derive(Clone, Debug)]
 pub enum Input {
-    Announced(Announcement),
-    Left(Departure),
+    WorkerAnnounced(Announcement),
+    WorkerLeft(Departure),
     Message(Box<Message>),
     CallEnded {
         id: u64,
@@ -84,11 +84,11 @@
     term: u64,
     worker: Option<WorkerIncarnation>,
     /// A lifetime that announced itself and has not answered yet.
-    newcomer: Option<UnconfirmedWorker>,
+    unconfirmed: Option<UnconfirmedWorker>,
     /// When the newest input came.
     handled_ms: u64,
     /// Token of the leader for looks at a worker that it does not know.
-    look_token: u64,
+    unconfirmed_token: u64,
     /// Pools of workers that the configuration names, as far as it is known.
     services: Vec<CompactString>,
     /// Lifetimes that are over; a late announcement of one is passed over.
@@ -122,9 +122,9 @@
             leader_finder: LeaderFinder::new(options.controls.clone(), options.boot),
             term: 0,
             worker: None,
-            newcomer: None,
+            unconfirmed: None,
             handled_ms: 0,
-            look_token: 0,
+            unconfirmed_token: 0,
             services: Vec::new(),
             past: Vec::new(),
             late: 0,
@@ -148,12 +148,12 @@
     /// Returns when the next [`Input::Tick`] is due.
     pub fn next_tick_ms(&self) -> u64 {
         let mut res = self.report_at_ms;
-        if let Some(it) = self.newcomer.as_ref().and_then(UnconfirmedWorker::next_call_ms) {
+        if let Some(it) = self.unconfirmed.as_ref().and_then(UnconfirmedWorker::next_call_ms) {
             res = res.min(it);
         }
         if let Some(it) = self.worker.as_ref().filter(|it| self.may_call(it)) {
-            if it.hold.is_none() {
-                res = res.min(it.hold_at_ms);
+            if it.poll.is_none() {
+                res = res.min(it.next_poll_ms);
             }
             let idle = it.orders.values().filter(|it| it.call.is_none());
             res = res.min(idle.map(|it| it.next_ms).min().unwrap_or(u64::MAX));
@@ -165,8 +165,8 @@
     pub fn handle(&mut self, now: Now, input: Input) {
         self.note_pause(now);
         match input {
-            Input::Announced(it) => self.on_announced(now, it),
-            Input::Left(it) => self.on_left(&it),
+            Input::WorkerAnnounced(it) => self.on_announced(now, it),
+            Input::WorkerLeft(it) => self.on_left(&it),
             Input::Message(it) => self.on_message(now, *it),
             Input::CallEnded { id, result } => self.on_call_ended(now, id, result),
             Input::ControlAddresses(it) => self.leader_finder.set_seeds(it),
@@ -181,7 +181,7 @@
     /// Returns whether calls of a worker may be made: orders for its id may reach a newcomer.
     fn may_call(&self, worker: &WorkerIncarnation) -> bool {
         let id = &worker.announcement.id;
-        worker.is_callable() && self.newcomer.as_ref().is_none_or(|it| it.announcement.id != *id)
+        worker.is_callable() && self.unconfirmed.as_ref().is_none_or(|it| it.announcement.id != *id)
     }
 
     /// Notes whether this process stood still: the worker may have crashed and be back since.
@@ -189,32 +189,32 @@
         let stood_still = self.handled_ms + self.options.report_ms + LATE_TICK_MS < now.mono_ms;
         self.handled_ms = now.mono_ms;
         if let Some(worker) = self.worker.as_mut().filter(|_| stood_still) {
-            worker.is_unsure = true;
-            worker.stood_still_ms = now.mono_ms;
+            worker.may_be_replaced = true;
+            worker.pause_detected_ms = now.mono_ms;
         }
     }
 
     fn on_announced(&mut self, now: Now, it: Announcement) {
-        let lifetime = it.lifetime();
-        if self.past.contains(&lifetime) {
+        let incarnation_name = it.incarnation_name();
+        if self.past.contains(&incarnation_name) {
             return self.pass_over_late(&it, None);
         }
         if !self.services.is_empty() && !self.services.contains(&it.service) {
             // Whoever wrote it, it must not take the place of the worker that is known.
-            tracing::warn!(event = "announcement_passed_over", worker = %lifetime, service = %it.service, cause = AnnouncementRejection::UnknownService.as_str());
+            tracing::warn!(event = "announcement_passed_over", worker = %incarnation_name, service = %it.service, cause = AnnouncementRejection::UnknownService.as_str());
             return self
                 .effects
                 .push(Effect::AnnouncementIgnored(AnnouncementRejection::UnknownService));
         }
-        let known = self.worker.as_mut().filter(|known| known.name == lifetime);
-        match (known, &mut self.newcomer) {
+        let known = self.worker.as_mut().filter(|known| known.name == incarnation_name);
+        match (known, &mut self.unconfirmed) {
             (Some(known), _) if !known.is_gone && it.sequence <= known.announcement.sequence => {
                 let newest = known.announcement.sequence;
                 self.pass_over_late(&it, Some(newest));
             }
             (Some(known), _) if !known.is_gone => {
                 if it.draining && !known.announcement.draining {
-                    tracing::info!(event = "worker_draining", worker = %lifetime, remaining_ms = it.remaining_ms);
+                    tracing::info!(event = "worker_draining", worker = %incarnation_name, remaining_ms = it.remaining_ms);
                     self.is_dirty = true;
                 }
                 // The leader must not fill what the worker no longer has.
@@ -224,12 +224,14 @@
                 known.announcement = it;
                 self.late = 0;
             }
-            (_, Some(newcomer)) if newcomer.announcement.lifetime() == lifetime => {
-                newcomer.hear(it, now);
+            (_, Some(unconfirmed))
+                if unconfirmed.announcement.incarnation_name() == incarnation_name =>
+            {
+                unconfirmed.hear(it, now);
             }
             // One that was given up may have been out of reach only, or be another one that does not
             // tell its start.
-            _ => self.newcomer = Some(UnconfirmedWorker::new(it, now)),
+            _ => self.unconfirmed = Some(UnconfirmedWorker::new(it, now)),
         }
     }
 
@@ -240,49 +242,49 @@
         // A worker that is passed over for good would write a line each second.
         if self.late.is_power_of_two() {
             let is_gone = self.worker.as_ref().is_some_and(|known| known.is_gone);
-            tracing::warn!(event = "announcement_passed_over", worker = %it.lifetime(), cause = AnnouncementRejection::Late.as_str(), sequence = it.sequence, newest = ?newest, worker_clock_ms = it.clock_ms, in_a_row = self.late, is_gone);
+            tracing::warn!(event = "announcement_passed_over", worker = %it.incarnation_name(), cause = AnnouncementRejection::Outdated.as_str(), sequence = it.sequence, newest = ?newest, worker_clock_ms = it.clock_ms, in_a_row = self.late, is_gone);
         }
-        self.effects.push(Effect::AnnouncementIgnored(AnnouncementRejection::Late));
+        self.effects.push(Effect::AnnouncementIgnored(AnnouncementRejection::Outdated));
     }
 
     /// Takes in what came of a call of the newcomer.
     fn on_newcomer_answered(&mut self, now: Now, result: &CallResult) {
-        let Some(newcomer) = &mut self.newcomer else { return };
-        let id = &newcomer.announcement.id;
+        let Some(unconfirmed) = &mut self.unconfirmed else { return };
+        let id = &unconfirmed.announcement.id;
         let before = self.worker.as_ref().filter(|it| it.announcement.id == *id);
         // A node that has just started does not know whose id it is.
         let may_share_id = before.is_some() || self.worker.is_none();
-        let verdict = newcomer.take_answer(result, may_share_id, self.options.retry_ms, now);
+        let verdict = unconfirmed.take_answer(result, may_share_id, self.options.retry_ms, now);
         let doubtful = before.map(|it| it.doubtful_starts(now)).unwrap_or_default();
         match verdict {
             Verdict::Unclear => (),
             Verdict::Away => {
-                let lifetime = newcomer.announcement.lifetime();
-                tracing::info!(event = "announcement_passed_over", worker = %lifetime, cause = "not_there", sequence = newcomer.announcement.sequence);
-                self.effects.push(Effect::AnnouncementIgnored(AnnouncementRejection::Late));
-                self.newcomer = None;
+                let incarnation_name = unconfirmed.announcement.incarnation_name();
+                tracing::info!(event = "announcement_passed_over", worker = %incarnation_name, cause = "not_there", sequence = unconfirmed.announcement.sequence);
+                self.effects.push(Effect::AnnouncementIgnored(AnnouncementRejection::Outdated));
+                self.unconfirmed = None;
             }
             Verdict::Heard if !doubtful.is_empty() => {
-                tracing::info!(event = "starts_barred", worker = %newcomer.announcement.lifetime(), starts = doubtful.len());
-                newcomer.bar(doubtful, now);
+                tracing::info!(event = "starts_barred", worker = %unconfirmed.announcement.incarnation_name(), starts = doubtful.len());
+                unconfirmed.bar(doubtful, now);
             }
             Verdict::Heard | Verdict::Ready => {
-                let announcement = newcomer.announcement.clone();
-                self.newcomer = None;
+                let announcement = unconfirmed.announcement.clone();
+                self.unconfirmed = None;
                 self.begin_lifetime(now, announcement);
             }
         }
     }
 
     fn begin_lifetime(&mut self, now: Now, it: Announcement) {
-        let lifetime = it.lifetime();
+        let incarnation_name = it.incarnation_name();
         if let Some(old) = self.worker.take() {
-            tracing::info!(event = "worker_replaced", worker = %old.name, by = %lifetime, runs = old.running.len());
-            if old.name != lifetime {
+            tracing::info!(event = "worker_replaced", worker = %old.name, by = %incarnation_name, runs = old.running.len());
+            if old.name != incarnation_name {
                 self.forget_lifetime(old.name);
             }
         }
-        tracing::info!(event = "worker_seen", worker = %lifetime, service = %it.service, kind = %it.kind, rack = %it.rack, cpu_millicores = it.capacity.cpu_millicores, memory_mib = it.capacity.memory_mib);
+        tracing::info!(event = "worker_seen", worker = %incarnation_name, service = %it.service, kind = %it.kind, rack = %it.rack, cpu_millicores = it.capacity.cpu_millicores, memory_mib = it.capacity.memory_mib);
         self.worker =
             Some(WorkerIncarnation::new(it, self.next_call, self.options.harm_max_ms, now));
         self.late = 0;
@@ -301,7 +303,7 @@
     /// One that has not said before that it drains may be another lifetime with the id of the one
     /// that speaks: it gets nothing new, and is gone once nobody is found there.
     fn on_left(&mut self, it: &Departure) {
-        self.newcomer.take_if(|newcomer| it.is_of(&newcomer.announcement));
+        self.unconfirmed.take_if(|unconfirmed| it.is_of(&unconfirmed.announcement));
         if let Some(known) = self.worker.as_mut().filter(|known| it.is_of(&known.announcement)) {
             let is_expected = known.announcement.draining;
             tracing::info!(event = "worker_left", worker = %known.name, runs = known.running.len(), is_expected);
@@ -335,8 +337,8 @@
             self.term = it.term;
             if let Some(worker) = &mut self.worker {
                 // The new leader needs the lists under its own term.
-                worker.hold = None;
-                worker.hold_at_ms = now.mono_ms;
+                worker.poll = None;
+                worker.next_poll_ms = now.mono_ms;
             }
         }
         self.granted_ms = now.mono_ms;
@@ -344,9 +346,12 @@
         self.unanswered_reports = 0;
         self.leader_finder.set_members(&it.members);
         self.leader_finder.set_leader(self.leader_finder.target());
-        if it.worker.is_empty() && self.look_token < it.token {
-            self.look_token = it.token;
-            self.newcomer.as_mut().into_iter().for_each(|newcomer| newcomer.look_again(now));
+        if it.worker.is_empty() && self.unconfirmed_token < it.token {
+            self.unconfirmed_token = it.token;
+            self.unconfirmed
+                .as_mut()
+                .into_iter()
+                .for_each(|unconfirmed| unconfirmed.look_again(now));
         }
         let Some(worker) = self.worker.as_mut().filter(|known| known.name == it.worker) else {
             return;
@@ -367,7 +372,7 @@
         if worker.acked_cursor < it.acked_cursor {
             worker.acked_cursor = it.acked_cursor;
             worker.ended.retain(|cursor, _| it.acked_cursor < *cursor);
-            worker.hold_at_ms = worker.hold_at_ms.min(now.mono_ms);
+            worker.next_poll_ms = worker.next_poll_ms.min(now.mono_ms);
         }
         if !it.costs.is_empty() {
             let cost = |it: ImageCost| ((it.serving, it.filler), f64::from(it.headroom_percent));
@@ -400,7 +405,8 @@
         self.report_number += 1;
         let silent_ms = self.options.worker_silent_ms;
         // A worker that is silent gets no longer lease: what it does is not known.
-        let fresh = |it: &&WorkerIncarnation| it.is_gone || now.mono_ms < it.heard_ms + silent_ms;
+        let fresh =
+            |it: &&WorkerIncarnation| it.is_gone || now.mono_ms < it.last_contact_ms + silent_ms;
         let report = NodeReport {
             node: self.options.address,
             boot: self.options.boot,
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -59,7 +59,7 @@
     fn bar_unfit(&mut self, now: Now) {
         let capacity = self.announcement.capacity;
         for pending in self.orders.values_mut() {
-            if let Order::Start { made_for, .. } = pending.order
+            if let Order::Start { planned_capacity: made_for, .. } = pending.order
                 && !fits(made_for, capacity)
             {
                 pending.bar(RefusalCause::Room, now);
@@ -71,7 +71,7 @@
     /// what took it down.
     fn refuse_unsent(&mut self) {
         let is_unsent = |it: &PendingOrder| {
-            matches!(it.order, Order::Start { .. }) && it.call.is_none() && !it.may_be_late
+            matches!(it.order, Order::Start { .. }) && it.call.is_none() && !it.may_still_execute
         };
         for (run, _) in self.orders.iter().filter(|(_, it)| is_unsent(it)) {
             self.refused.insert(*run, RefusalCause::Unhealthy);
@@ -92,7 +92,7 @@
 
     /// Notes a look at the worker that brought no list.
     fn note_no_list(&mut self, now: Now, term: u64, retry_ms: u64, result: &CallResult) {
-        self.hold_at_ms = now.mono_ms + retry_ms;
+        self.next_poll_ms = now.mono_ms + retry_ms;
         match result {
             CallResult::NoAnswer | CallResult::ConnectionRefused => (),
             other => {
@@ -104,10 +104,10 @@
     /// Notes a list with rows that cannot be read; returns whether they have been there for so
     /// long that they must be somebody else's, so that the rest counts as a whole.
     fn judge_gap(&mut self, unreadable: usize) -> bool {
-        self.gaps = self.gaps.saturating_add(1);
-        let is_whole = GAPS_MAX <= self.gaps;
-        if self.gaps == 1 || self.gaps == GAPS_MAX {
-            tracing::warn!(event = "rows_unreadable", worker = %self.name, rows = unreadable, lists = self.gaps, is_whole);
+        self.incomplete_lists = self.incomplete_lists.saturating_add(1);
+        let is_whole = GAPS_MAX <= self.incomplete_lists;
+        if self.incomplete_lists == 1 || self.incomplete_lists == GAPS_MAX {
+            tracing::warn!(event = "rows_unreadable", worker = %self.name, rows = unreadable, lists = self.incomplete_lists, is_whole);
         }
         is_whole
     }
@@ -115,16 +115,16 @@
     /// Notes who is there by a look that has ended.
     ///
     /// An answer that lay unread while this process stood still tells who was there before.
-    fn note_look(&mut self, hold: PendingPoll, result: &CallResult, now: Now) {
-        let is_fresh = self.stood_still_ms <= hold.sent_ms
-            && now.mono_ms <= hold.sent_ms + hold.wait_ms + LIST_FRESH_MS;
+    fn note_look(&mut self, poll: PendingPoll, result: &CallResult, now: Now) {
+        let is_fresh = self.pause_detected_ms <= poll.sent_ms
+            && now.mono_ms <= poll.sent_ms + poll.wait_ms + LIST_FRESH_MS;
         match result {
-            CallResult::Held { .. } | CallResult::PartialRunList { .. } if is_fresh => {
-                self.is_unsure = false;
+            CallResult::RunList { .. } | CallResult::PartialRunList { .. } if is_fresh => {
+                self.may_be_replaced = false;
                 self.listed_ms = now.mono_ms;
-                self.acked_told = self.acked_told.max(hold.acked_cursor);
+                self.acked_cursor_received = self.acked_cursor_received.max(poll.acked_cursor);
             }
-            CallResult::NoAnswer | CallResult::ConnectionRefused => self.is_unsure = true,
+            CallResult::NoAnswer | CallResult::ConnectionRefused => self.may_be_replaced = true,
             _ => (),
         }
     }
@@ -138,7 +138,7 @@
 
     /// Forgets a call under way.
     fn forget_call(&mut self, id: u64) {
-        self.hold.take_if(|it| it.call == id);
+        self.poll.take_if(|it| it.call == id);
         self.throttle_calls.remove(&id);
         self.orders.values_mut().filter(|it| it.call == Some(id)).for_each(|it| it.call = None);
     }
@@ -150,7 +150,7 @@
             .orders
             .iter()
             .filter_map(|(run, it)| match it.order {
-                Order::Barred { cause, after_call } if after_call < list_call => {
+                Order::Blocked { cause, after_call } if after_call < list_call => {
                     Some((*run, cause))
                 }
                 _ => None,
@@ -176,7 +176,11 @@
         if is_known {
             return;
         }
-        let order = Order::Start { payload: it.payload, checkpoint: it.checkpoint, made_for };
+        let order = Order::Start {
+            payload: it.payload,
+            checkpoint: it.checkpoint,
+            planned_capacity: made_for,
+        };
         let mut pending = PendingOrder::new(order, now);
         if self.announcement.draining {
             // This process may have just started, with a call of the one before it on its way.
@@ -201,7 +205,13 @@
 
 impl PendingOrder {
     fn new(order: Order, now: Now) -> PendingOrder {
-        PendingOrder { order, call: None, next_ms: now.mono_ms, attempts: 0, may_be_late: false }
+        PendingOrder {
+            order,
+            call: None,
+            next_ms: now.mono_ms,
+            attempts: 0,
+            may_still_execute: false,
+        }
     }
 }
 
@@ -209,14 +219,14 @@
     /// Makes the calls that are due.
     pub(super) fn make_calls(&mut self, now: Now) {
         self.call_worker(now);
-        let token = self.worker.as_ref().map_or(0, |it| it.token).max(self.look_token);
-        if let Some(newcomer) = &mut self.newcomer
-            && newcomer.next_call_ms().is_some_and(|it| it <= now.mono_ms)
+        let token = self.worker.as_ref().map_or(0, |it| it.token).max(self.unconfirmed_token);
+        if let Some(unconfirmed) = &mut self.unconfirmed
+            && unconfirmed.next_call_ms().is_some_and(|it| it <= now.mono_ms)
         {
             self.next_call += 1;
             let id = self.next_call;
-            let action = newcomer.begin_call(id);
-            let call = WorkerCall { worker: newcomer.announcement.id.clone(), token, action };
+            let action = unconfirmed.begin_call(id);
+            let call = WorkerCall { worker: unconfirmed.announcement.id.clone(), token, action };
             self.effects.push(super::Effect::Call { id, call });
         }
     }
@@ -234,40 +244,45 @@
             calls.push((*next_call, action));
             *next_call
         };
-        if worker.hold.is_none() && worker.hold_at_ms <= now.mono_ms {
-            worker.is_unsure |= worker.listed_ms + LIST_FRESH_MS < now.mono_ms;
+        if worker.poll.is_none() && worker.next_poll_ms <= now.mono_ms {
+            worker.may_be_replaced |= worker.listed_ms + LIST_FRESH_MS < now.mono_ms;
             let watches = worker.must_watch();
             let may_have_lapsed = worker.may_have_lapsed(now);
             let wait_ms = match worker.listed_term == self.term {
                 false => 0,
-                true if worker.is_unsure => 0,
+                true if worker.may_be_replaced => 0,
                 true if worker.has_failure_to_note() || may_have_lapsed => 0,
                 true if watches => self.options.watch_wait_ms,
                 true => self.options.hold_wait_ms,
             };
             // Another lifetime has another clock, and ends of its own with the same numbers.
-            let (lease, acked_cursor) = match worker.is_unsure {
+            let (lease, acked_cursor) = match worker.may_be_replaced {
                 true => (None, 0),
                 // What it has heard is not said again: the call may yet reach another lifetime.
-                false if worker.acked_cursor == worker.acked_told => (lease, 0),
+                false if worker.acked_cursor == worker.acked_cursor_received => (lease, 0),
                 false => (lease, worker.acked_cursor),
             };
-            let action = Action::Hold { lease_until_ms: lease, acked_cursor, wait_ms };
+            let action = Action::Poll { lease_until_ms: lease, acked_cursor, wait_ms };
             let call = call(action, &mut self.next_call);
             let lapsed_if_past_ms = worker.sent_lease_until_ms.filter(|_| may_have_lapsed);
             let sent_ms = now.mono_ms;
-            worker.hold =
-                Some(PendingPoll { call, sent_ms, wait_ms, acked_cursor, lapsed_if_past_ms });
+            worker.poll = Some(PendingPoll {
+                call,
+                sent_ms,
+                wait_ms,
+                acked_cursor,
+                previous_lease_until_ms: lapsed_if_past_ms,
+            });
             worker.sent_lease_until_ms = worker.sent_lease_until_ms.max(lease);
         }
-        let is_unsure = worker.is_unsure;
+        let is_unsure = worker.may_be_replaced;
         let mut sent_lease_until_ms = worker.sent_lease_until_ms;
         for (run, pending) in &mut worker.orders {
             if pending.call.is_some() || now.mono_ms < pending.next_ms {
                 continue;
             }
             let action = match (&pending.order, lease) {
-                (Order::Barred { .. }, _) => continue,
+                (Order::Blocked { .. }, _) => continue,
                 (Order::Start { .. }, _) if is_unsure => {
                     pending.next_ms = now.mono_ms + self.options.retry_ms;
                     continue;
@@ -293,7 +308,7 @@
         }
         worker.sent_lease_until_ms = sent_lease_until_ms;
         for (run, percent) in worker.speeds_to_send() {
-            let id = call(Action::Pace { run, percent }, &mut self.next_call);
+            let id = call(Action::Throttle { run, speed_percent: percent }, &mut self.next_call);
             worker.throttle_calls.insert(id, (run, percent));
         }
         let (worker, token) = (worker.announcement.id.clone(), worker.token);
@@ -304,10 +319,12 @@
     }
 
     pub(super) fn on_call_ended(&mut self, now: Now, id: u64, result: CallResult) {
-        if self.newcomer.as_ref().is_some_and(|it| it.awaits(id)) {
+        if self.unconfirmed.as_ref().is_some_and(|it| it.awaits(id)) {
             return self.on_newcomer_answered(now, &result);
         }
-        let Some(worker) = self.worker.as_mut().filter(|it| it.calls_after < id) else { return };
+        let Some(worker) = self.worker.as_mut().filter(|it| it.last_call_before < id) else {
+            return;
+        };
         if worker.is_anothers(&result) {
             if !std::mem::replace(&mut worker.is_displaced, true) {
                 tracing::warn!(event = "worker_displaced", worker = %worker.name, runs = worker.running.len());
@@ -316,7 +333,7 @@
             return worker.forget_call(id);
         }
         match &result {
-            CallResult::Held { clock_ms, .. }
+            CallResult::RunList { clock_ms, .. }
             | CallResult::PartialRunList { clock_ms, .. }
             | CallResult::Done { clock_ms }
             | CallResult::Refused { clock_ms, .. } => worker.hear(*clock_ms, now),
@@ -331,12 +348,12 @@
             }
             _ => (),
         }
-        if let Some(hold) = worker.hold.filter(|it| it.call == id) {
-            return self.on_hold_ended(now, hold, result);
+        if let Some(poll) = worker.poll.filter(|it| it.call == id) {
+            return self.on_hold_ended(now, poll, result);
         }
         if let Some((run, percent)) = worker.throttle_calls.remove(&id) {
             if matches!(result, CallResult::Done { .. }) {
-                worker.paces.insert(run, percent);
+                worker.sent_speed_percents.insert(run, percent);
             }
             return;
         }
@@ -350,7 +367,7 @@
     }
 
     fn on_late_result(&mut self, now: Now, result: CallResult) {
-        let (CallResult::Held { ended, .. } | CallResult::PartialRunList { ended, .. }) = result
+        let (CallResult::RunList { ended, .. } | CallResult::PartialRunList { ended, .. }) = result
         else {
             return;
         };
@@ -360,28 +377,28 @@
                 worker.ended.insert(it.cursor, it.end);
                 self.is_dirty = true;
             }
-            worker.hold_at_ms = worker.hold_at_ms.min(now.mono_ms);
+            worker.next_poll_ms = worker.next_poll_ms.min(now.mono_ms);
         }
     }
 
-    fn on_hold_ended(&mut self, now: Now, hold: PendingPoll, result: CallResult) {
+    fn on_hold_ended(&mut self, now: Now, poll: PendingPoll, result: CallResult) {
         let Some(worker) = &mut self.worker else { return };
-        worker.hold = None;
-        worker.note_look(hold, &result, now);
+        worker.poll = None;
+        worker.note_look(poll, &result, now);
         let tells_start =
             |started_unix_ms: Option<u64>| started_unix_ms == worker.announcement.started_unix_ms;
         let (clock_ms, running, ended, is_whole) = match result {
             // Whose list it is cannot be told.
-            CallResult::Held { started_unix_ms, .. }
+            CallResult::RunList { started_unix_ms, .. }
             | CallResult::PartialRunList { started_unix_ms, .. }
                 if !tells_start(started_unix_ms) =>
             {
                 tracing::warn!(event = "list_passed_over", worker = %worker.name, cause = "no_start");
-                worker.hold_at_ms = now.mono_ms + self.options.retry_ms;
+                worker.next_poll_ms = now.mono_ms + self.options.retry_ms;
                 return;
             }
-            CallResult::Held { clock_ms, running, ended, .. } => {
-                worker.gaps = 0;
+            CallResult::RunList { clock_ms, running, ended, .. } => {
+                worker.incomplete_lists = 0;
                 (clock_ms, running, ended, true)
             }
             CallResult::PartialRunList {
@@ -389,7 +406,7 @@
                 running,
                 mut ended,
                 ended_after_unreadable,
-                unreadable,
+                unreadable_rows: unreadable,
                 ..
             } => {
                 let is_whole = 0 < unreadable && worker.judge_gap(unreadable);
@@ -401,30 +418,30 @@
             result => return worker.note_no_list(now, self.term, self.options.retry_ms, &result),
         };
         let was_listed = worker.listed_term == self.term;
-        let is_waited_for = worker.take_noted(hold, clock_ms, &ended, now);
+        let is_waited_for = worker.take_noted(poll, clock_ms, &ended, now);
         let known = worker.ended.len();
         for it in ended.into_iter().filter(|it| worker.acked_cursor < it.cursor) {
             worker.ended.insert(it.cursor, it.end);
         }
         match is_whole {
-            true => worker.take_list(running, hold.call),
+            true => worker.take_list(running, poll.call),
             false => worker.take_part_of_list(running),
         }
         if is_whole {
             worker.listed_term = self.term;
-            self.is_dirty |= worker.settle_barred(hold.call);
+            self.is_dirty |= worker.settle_barred(poll.call);
         }
         let live: std::collections::HashSet<_> = worker.running.iter().map(|it| it.run).collect();
-        worker.paces.retain(|run, _| live.contains(run));
+        worker.sent_speed_percents.retain(|run, _| live.contains(run));
         let pending = &worker.orders;
         worker.roles.retain(|run, _| live.contains(run) || pending.contains_key(run));
         let has_news = known < worker.ended.len();
         // What was saved and how far each run is goes with the next report.
         self.is_dirty |= has_news || !was_listed || is_waited_for;
-        worker.pace(now);
+        worker.throttle_fillers(now);
         // Ends not yet noted would be listed again at once.
         let pause_ms = if worker.ended.is_empty() { 0 } else { ACK_PAUSE_MS };
-        worker.hold_at_ms = now.mono_ms + pause_ms;
+        worker.next_poll_ms = now.mono_ms + pause_ms;
     }
 
     fn on_order_ended(&mut self, now: Now, run: RunRef, result: CallResult) {
@@ -440,7 +457,7 @@
                     let checkpoint = CompactString::default();
                     let task = RunningTask { run, checkpoint, progress_percent: 0, load: 0 };
                     worker.running.push(task);
-                    worker.begun.insert(run, self.next_call);
+                    worker.started_by_call.insert(run, self.next_call);
                     worker.begin_usage(run, now);
                     worker.throttle_started_filler(now);
                 }
@@ -448,13 +465,13 @@
             CallResult::Done { .. } => {
                 match pending.order {
                     Order::Stop { refused: Some(cause) } => {
-                        pending.order = Order::Barred { cause, after_call: self.next_call };
+                        pending.order = Order::Blocked { cause, after_call: self.next_call };
                         // The hold under way may have been answered before the stop.
-                        worker.hold = None;
+                        worker.poll = None;
                     }
                     _ => drop(worker.orders.remove(&run)),
                 }
-                worker.hold_at_ms = worker.hold_at_ms.min(now.mono_ms);
+                worker.next_poll_ms = worker.next_poll_ms.min(now.mono_ms);
             }
             CallResult::Refused { cause: CallRefusal::Room, .. } if is_start => {
                 pending.bar(RefusalCause::Room, now);
@@ -472,7 +489,7 @@
                 pending.bar(RefusalCause::Unhealthy, now);
             }
             CallResult::NoAnswer => {
-                pending.may_be_late = true;
+                pending.may_still_execute = true;
                 if is_start {
                     worker.note_unanswered(run, now);
                 }
--- a/src/node/unconfirmed.rs
+++ b/src/node/unconfirmed.rs
@@ -88,7 +88,7 @@
                 Action::Stop { run: *run }
             }
             // No lease, no end noted and no wait: nothing there changes by it.
-            _ => Action::Hold { lease_until_ms: None, acked_cursor: 0, wait_ms: 0 },
+            _ => Action::Poll { lease_until_ms: None, acked_cursor: 0, wait_ms: 0 },
         }
     }
 
@@ -112,7 +112,7 @@
             (_, CallResult::OtherLifetime) => Verdict::Away,
             (
                 _,
-                CallResult::Held { started_unix_ms, .. }
+                CallResult::RunList { started_unix_ms, .. }
                 | CallResult::PartialRunList { started_unix_ms, .. },
             ) if started_unix_ms.is_some()
                 && *started_unix_ms != self.announcement.started_unix_ms =>
@@ -121,10 +121,10 @@
             }
             (
                 _,
-                CallResult::Held { started_unix_ms, .. }
+                CallResult::RunList { started_unix_ms, .. }
                 | CallResult::PartialRunList { started_unix_ms, .. },
             ) if *started_unix_ms != self.announcement.started_unix_ms => Verdict::Unclear,
-            (Stage::Unheard, CallResult::Held { .. } | CallResult::PartialRunList { .. }) => {
+            (Stage::Unheard, CallResult::RunList { .. } | CallResult::PartialRunList { .. }) => {
                 Verdict::Heard
             }
             // A call that names another id is not answered like this.
@@ -138,7 +138,7 @@
                 self.next_ms = now.mono_ms;
                 return Verdict::Unclear;
             }
-            (Stage::Barring { left, barred }, CallResult::Held { running, .. })
+            (Stage::Barring { left, barred }, CallResult::RunList { running, .. })
                 if left.is_empty() && !running.iter().any(|it| barred.contains(&it.run)) =>
             {
                 Verdict::Ready
--- a/src/node/worker.rs
+++ b/src/node/worker.rs
@@ -29,7 +29,7 @@
     pub acked_cursor: u64,
     /// End of the lease before this look, by the worker's clock, where it may be over. Then the
     /// look waits for nothing, so that all that it lists ended before it.
-    pub lapsed_if_past_ms: Option<u64>,
+    pub previous_lease_until_ms: Option<u64>,
 }
 
 /// An order on its way to the worker.
@@ -41,7 +41,7 @@
     pub next_ms: u64,
     pub attempts: u32,
     /// A start that got no answer may still be carried out.
-    pub may_be_late: bool,
+    pub may_still_execute: bool,
 }
 
 /// What an order is for.
@@ -51,13 +51,13 @@
         payload: CompactString,
         checkpoint: CompactString,
         /// What the worker had when the order was made.
-        made_for: Resources,
+        planned_capacity: Resources,
     },
     /// Ends the run, or bars it from beginning; then it is refused for this cause, if any.
     Stop { refused: Option<RefusalCause> },
     /// The worker was told to stop the run; whether it ever ran shows in the next list, read by
     /// a call numbered above `after_call`.
-    Barred { cause: RefusalCause, after_call: u64 },
+    Blocked { cause: RefusalCause, after_call: u64 },
 }
 
 /// What a filler of an image uses.
@@ -74,20 +74,20 @@
     pub name: CompactString,
     pub announcement: Announcement,
     /// The newest call before it began: answers to that one and earlier ones tell nothing of it.
-    pub calls_after: u64,
+    pub last_call_before: u64,
     pub clock: ClockSample,
     /// Last word from the worker itself.
-    pub heard_ms: u64,
+    pub last_contact_ms: u64,
     /// Term under which the lists were last read.
     pub listed_term: u64,
     pub running: Vec<RunningTask>,
     /// Runs whose start was answered, with the newest call by then: a list asked for earlier may
     /// not show them yet.
-    pub begun: HashMap<RunRef, u64>,
+    pub started_by_call: HashMap<RunRef, u64>,
     pub ended: BTreeMap<u64, RunEnd>,
     pub acked_cursor: u64,
     /// How far the worker has surely heard that its ends are taken note of.
-    pub acked_told: u64,
+    pub acked_cursor_received: u64,
     pub noted: NotedEnds,
     /// Highest cursor of a failure that was listed: the leader waits to hear that it is noted.
     pub failure_cursor: u64,
@@ -102,26 +102,26 @@
     pub roles: HashMap<RunRef, TaskRole>,
     pub throttler: Throttler,
     /// What fillers use, over the time that tails are read in; those that have just ended too.
-    pub usages: HashMap<RunRef, ImageUsage>,
+    pub filler_usages: HashMap<RunRef, ImageUsage>,
     /// What a core of a filler takes from a serving task, by their images.
     pub costs: HashMap<(CompactString, CompactString), f64>,
     /// Share that each filler was last told, and the call that tells it.
-    pub paces: HashMap<RunRef, u32>,
+    pub sent_speed_percents: HashMap<RunRef, u32>,
     pub throttle_calls: HashMap<u64, (RunRef, u32)>,
     /// The look at the worker's lists that is under way.
-    pub hold: Option<PendingPoll>,
-    pub hold_at_ms: u64,
+    pub poll: Option<PendingPoll>,
+    pub next_poll_ms: u64,
     /// Lists in a row that had rows which cannot be read.
-    pub gaps: u32,
+    pub incomplete_lists: u32,
     /// When nobody was found at the worker's address first, with nothing heard since.
     pub missing_since_ms: Option<u64>,
     /// Starts of which a call got no answer, with when that was found: a copy may be on its way.
     pub unanswered_starts: BTreeMap<RunRef, u64>,
     /// A look at it failed, or this process stood still, and none has succeeded since: another
     /// lifetime may be there.
-    pub is_unsure: bool,
+    pub may_be_replaced: bool,
     /// When this process was found to have stood still: what was asked before tells who was there.
-    pub stood_still_ms: u64,
+    pub pause_detected_ms: u64,
     /// When it last listed what it runs.
     pub listed_ms: u64,
     /// Another lifetime answers in its place: what is sent to its id would reach that one.
@@ -137,17 +137,17 @@
         now: Now,
     ) -> WorkerIncarnation {
         WorkerIncarnation {
-            name: announcement.lifetime(),
+            name: announcement.incarnation_name(),
             clock: ClockSample { clock_ms: announcement.clock_ms, at_ms: now.mono_ms },
             announcement,
-            calls_after,
-            heard_ms: now.mono_ms,
+            last_call_before: calls_after,
+            last_contact_ms: now.mono_ms,
             listed_term: 0,
             running: Vec::new(),
-            begun: HashMap::new(),
+            started_by_call: HashMap::new(),
             ended: BTreeMap::new(),
             acked_cursor: 0,
-            acked_told: 0,
+            acked_cursor_received: 0,
             noted: NotedEnds::NONE,
             failure_cursor: 0,
             sent_lease_until_ms: None,
@@ -158,17 +158,17 @@
             refused: BTreeMap::new(),
             roles: HashMap::new(),
             throttler: Throttler::new(harm_max_ms),
-            usages: HashMap::new(),
+            filler_usages: HashMap::new(),
             costs: HashMap::new(),
-            paces: HashMap::new(),
+            sent_speed_percents: HashMap::new(),
             throttle_calls: HashMap::new(),
-            hold: None,
-            hold_at_ms: now.mono_ms,
-            gaps: 0,
+            poll: None,
+            next_poll_ms: now.mono_ms,
+            incomplete_lists: 0,
             missing_since_ms: None,
             unanswered_starts: BTreeMap::new(),
-            is_unsure: false,
-            stood_still_ms: 0,
+            may_be_replaced: false,
+            pause_detected_ms: 0,
             listed_ms: now.mono_ms,
             is_displaced: false,
             is_gone: false,
@@ -184,7 +184,7 @@
     pub(super) fn is_anothers(&self, result: &CallResult) -> bool {
         match result {
             CallResult::OtherLifetime => true,
-            CallResult::Held { started_unix_ms, .. }
+            CallResult::RunList { started_unix_ms, .. }
             | CallResult::PartialRunList { started_unix_ms, .. } => {
                 started_unix_ms.is_some() && *started_unix_ms != self.announcement.started_unix_ms
             }
@@ -196,21 +196,23 @@
     /// answer, and those whose answer no list has confirmed.
     pub(super) fn doubtful_starts(&self, now: Now) -> Vec<RunRef> {
         let is_doubtful = |it: &PendingOrder| match it.order {
-            Order::Start { .. } => it.call.is_some() || it.may_be_late,
+            Order::Start { .. } => it.call.is_some() || it.may_still_execute,
             Order::Stop { refused } => refused.is_some(),
-            Order::Barred { .. } => true,
+            Order::Blocked { .. } => true,
         };
         let pending = self.orders.iter().filter(|(_, it)| is_doubtful(it)).map(|(run, _)| *run);
         let may_come = |found_ms: &u64| now.mono_ms < found_ms + LATE_ORDER_MAX_MS;
         let unanswered = self.unanswered_starts.iter().filter(|(_, it)| may_come(it));
-        let runs = pending.chain(unanswered.map(|(run, _)| *run)).chain(self.begun.keys().copied());
+        let runs = pending
+            .chain(unanswered.map(|(run, _)| *run))
+            .chain(self.started_by_call.keys().copied());
         runs.collect::<BTreeSet<_>>().into_iter().collect()
     }
 
     /// Takes in a word from the worker.
     pub(super) fn hear(&mut self, clock_ms: u64, now: Now) {
         self.clock = ClockSample { clock_ms, at_ms: now.mono_ms };
-        self.heard_ms = now.mono_ms;
+        self.last_contact_ms = now.mono_ms;
         self.missing_since_ms = None;
     }
 
@@ -248,26 +250,26 @@
     /// acknowledgement came too late.
     pub(super) fn take_noted(
         &mut self,
-        hold: PendingPoll,
+        poll: PendingPoll,
         clock_ms: u64,
         ended: &[EndedRun],
         now: Now,
     ) -> bool {
         let before = self.noted;
         // Its clock as the look reached it: after it was sent, and before the answer was read.
-        let least_clock_ms = clock_ms.saturating_sub(now.mono_ms - hold.sent_ms);
-        let is_over = hold.lapsed_if_past_ms.is_some_and(|it| it < least_clock_ms);
+        let least_clock_ms = clock_ms.saturating_sub(now.mono_ms - poll.sent_ms);
+        let is_over = poll.previous_lease_until_ms.is_some_and(|it| it < least_clock_ms);
         let lapses = |it: &EndedRun| {
             it.end.outcome == RunOutcome::Lapsed && !self.ended.contains_key(&it.cursor)
         };
         let before_lapse = ended.iter().filter(|it| is_over || lapses(it)).map(|it| it.cursor);
-        let acked_late = is_over.then_some(hold.acked_cursor);
+        let acked_late = is_over.then_some(poll.acked_cursor);
         let lapsed_cursor = before_lapse.max().max(acked_late);
         if let Some(it) = lapsed_cursor.filter(|it| before.noted_cursor < *it) {
             self.noted.lapsed_after_cursor = before.noted_cursor;
             self.noted.lapsed_cursor = it;
         }
-        self.noted.noted_cursor = before.noted_cursor.max(hold.acked_cursor);
+        self.noted.noted_cursor = before.noted_cursor.max(poll.acked_cursor);
         let failures = ended.iter().filter(|it| it.end.outcome == RunOutcome::Failed);
         self.failure_cursor =
             failures.map(|it| it.cursor).max().unwrap_or(0).max(self.failure_cursor);
@@ -288,9 +290,9 @@
     /// Takes in a list that the worker gave to a call; what began after that call was made is kept,
     /// though the list may not show it yet.
     pub(super) fn take_list(&mut self, mut listed: Vec<RunningTask>, call: u64) {
-        self.begun.retain(|_, after_call| call <= *after_call);
+        self.started_by_call.retain(|_, after_call| call <= *after_call);
         let is_new = |it: &RunningTask| {
-            self.begun.contains_key(&it.run)
+            self.started_by_call.contains_key(&it.run)
                 && !listed.iter().any(|other| other.run == it.run)
                 && !self.ended.values().any(|other| other.run == it.run)
         };
@@ -312,7 +314,7 @@
 
     /// Returns a running task as the leader is told of it, with what a filler uses on the whole.
     fn reported(&self, it: &RunningTask) -> RunningTask {
-        let used = self.usages.get(&it.run);
+        let used = self.filler_usages.get(&it.run);
         let load = used.map_or(it.load, |it| (it.usage.cores * 1_000.0) as u32);
         RunningTask { load, ..it.clone() }
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -19,7 +19,7 @@
 pub enum Rejection {
     QueueFull,
     /// Its team fills its share of a full queue.
-    TeamShare,
+    TeamShareExceeded,
 }
 
 /// The requests of one class that wait in an entry, fair between teams.
@@ -55,13 +55,13 @@
     /// Returns why the newcomer may not wait.
     ///
     /// ```
-    /// use aspenrail::policy::admission::{FairQueue, Rejection, Waiting};
+    /// use aspenrail::policy::admission::{FairQueue, Rejection, WaitingRequest};
     ///
     /// let mut queue = FairQueue::new();
-    /// let it = |key| Waiting { key, deadline_ms: 100 };
+    /// let it = |key| WaitingRequest { key, deadline_ms: 100 };
     /// queue.push("noisy", it(1), 2).unwrap();
     /// queue.push("noisy", it(2), 2).unwrap();
-    /// assert_eq!(queue.push("noisy", it(3), 2), Err(Rejection::TeamShare));
+    /// assert_eq!(queue.push("noisy", it(3), 2), Err(Rejection::TeamShareExceeded));
     /// assert_eq!(queue.push("quiet", it(4), 2), Ok(Some(it(2))));
     /// ```
     pub fn push(
@@ -82,7 +82,7 @@
                 Some((name, len)) if own + 1 < len => {
                     self.teams.get_mut(&name).and_then(VecDeque::pop_back)
                 }
-                Some((name, _)) if name == team => return Err(Rejection::TeamShare),
+                Some((name, _)) if name == team => return Err(Rejection::TeamShareExceeded),
                 _ => return Err(Rejection::QueueFull),
             };
             self.len -= usize::from(displaced.is_some());
@@ -117,7 +117,7 @@
     }
 
     /// Puts back what [`FairQueue::pop`] took a moment ago.
-    pub fn unpop(&mut self, team: &str, it: WaitingRequest<K>) {
+    pub fn push_front(&mut self, team: &str, it: WaitingRequest<K>) {
         self.teams.entry(team.into()).or_default().push_front(it);
         self.len += 1;
         if let Some(served) = self.served.get_mut(team) {
--- a/src/policy/contention/headroom_filter.rs
+++ b/src/policy/contention/headroom_filter.rs
@@ -148,7 +148,7 @@
 
     /// Returns the share of what it reserves that a step uses: its headroom falls in proportion to
     /// its load, from that of an idle one.
-    pub(super) fn use_share(&self, group: StepRef) -> Option<f64> {
+    pub(super) fn cpu_use_share(&self, group: StepRef) -> Option<f64> {
         let level = self.level_percent(group)?;
         Some((1.0 - level / self.idle_percent?).clamp(USE_MIN, USE_MAX))
     }
--- a/src/policy/contention/mod.rs
+++ b/src/policy/contention/mod.rs
@@ -141,7 +141,7 @@
     }
 
     /// Returns what the next leader is to know, pair by pair.
-    pub fn known(&self) -> Vec<ImageCost> {
+    pub fn known_costs(&self) -> Vec<ImageCost> {
         let mut res = Vec::new();
         let mut serving: Vec<_> = self.filters.iter().collect();
         serving.sort_by_key(|(image, _)| self.images.name(**image));
@@ -174,20 +174,20 @@
 
     /// Returns the headroom that the tasks of a step, which run `serving`, have with no filler
     /// beside them.
-    pub fn rest_percent(&self, serving: ImageKey, group: StepRef) -> f64 {
+    pub fn idle_headroom_percent(&self, serving: ImageKey, group: StepRef) -> f64 {
         let filter = self.filters.get(&serving);
         filter.and_then(|it| it.level_percent(group)).unwrap_or(UNKNOWN_IDLE_HEADROOM_PERCENT)
     }
 
     /// Returns the share of what it reserves that a step uses by its headroom, or what serving
     /// tasks use in the mean where that is not known.
-    pub fn use_share(&self, serving: ImageKey, group: StepRef) -> f64 {
+    pub fn cpu_use_share(&self, serving: ImageKey, group: StepRef) -> f64 {
         let filter = self.filters.get(&serving);
-        filter.and_then(|it| it.use_share(group)).unwrap_or(MEAN_CPU_USE_SHARE)
+        filter.and_then(|it| it.cpu_use_share(group)).unwrap_or(MEAN_CPU_USE_SHARE)
     }
 
     /// Returns what `fillers` take from `serving` together, in percent of headroom.
-    pub fn taken_percent(&self, serving: ImageKey, fillers: &[FillerLoad]) -> f64 {
+    pub fn used_percent(&self, serving: ImageKey, fillers: &[FillerLoad]) -> f64 {
         fillers.iter().map(|it| self.cost_percent(serving, it.image) * it.cores).sum()
     }
 
@@ -240,7 +240,7 @@
             return;
         }
         let reading = HeadroomReading {
-            group: StepRef::of(it.run.task),
+            group: StepRef::of_task(it.run.task),
             headroom_percent: it.headroom_percent,
             noise: noise(it.headroom_percent, passed_ms),
             fillers,
--- a/src/policy/crash_evidence.rs
+++ b/src/policy/crash_evidence.rs
@@ -74,7 +74,7 @@
 impl BaselineCrashRate {
     /// Returns the odds for a task of having caused a crash at an age of its run, after one at
     /// another age, if there was any.
-    pub fn odds(self, age_ms: u64, age_before_ms: Option<u64>) -> f64 {
+    pub fn likelihood_ratio(self, age_ms: u64, age_before_ms: Option<u64>) -> f64 {
         let (likelihood, odds_max) = match age_before_ms {
             None => (likelihood_at_any_age(age_ms), ODDS_OF_FIRST_MAX),
             Some(before_ms) => (likelihood_after(age_ms, before_ms), ODDS_OF_NEXT_MAX),
@@ -113,42 +113,42 @@
 /// What is held against a task: crashes of its workers in a row, none of which it outlived.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct CrashEvidence {
-    pub losses: u32,
+    pub crashes_in_row: u32,
     /// Runs since then that ended with a worker that fell silent: it may have crashed.
     silent: u32,
-    pub odds: f64,
+    pub likelihood_ratio: f64,
     /// Age of its run at the last crash that it was seen at.
     age_ms: u64,
 }
 
 impl Default for CrashEvidence {
     fn default() -> CrashEvidence {
-        CrashEvidence { losses: 0, silent: 0, odds: 1.0, age_ms: 0 }
+        CrashEvidence { crashes_in_row: 0, silent: 0, likelihood_ratio: 1.0, age_ms: 0 }
     }
 }
 
 impl CrashEvidence {
     /// Returns what is held against the task after one more crash, seen at an age of its run.
-    pub fn after_crash(self, age_ms: u64, background: BaselineCrashRate) -> CrashEvidence {
-        let losses = self.losses + 1;
+    pub fn after_crash(self, age_ms: u64, baseline: BaselineCrashRate) -> CrashEvidence {
+        let losses = self.crashes_in_row + 1;
         let before_ms = (0 < self.age_ms).then_some(self.age_ms);
         let odds = match self.is_ruled_out_at_age(age_ms) {
             // An order that came late makes a young run look old, so that the count goes on.
-            true => background.odds(age_ms, None),
-            false => self.odds * background.odds(age_ms, before_ms),
+            true => baseline.likelihood_ratio(age_ms, None),
+            false => self.likelihood_ratio * baseline.likelihood_ratio(age_ms, before_ms),
         };
-        CrashEvidence { losses, odds, age_ms, ..self }
+        CrashEvidence { crashes_in_row: losses, likelihood_ratio: odds, age_ms, ..self }
     }
 
     /// Returns what is held against the task after a crash that another task explains.
     pub fn after_explained_crash(self, age_ms: u64) -> CrashEvidence {
-        CrashEvidence { losses: self.losses + 1, age_ms, ..self }
+        CrashEvidence { crashes_in_row: self.crashes_in_row + 1, age_ms, ..self }
     }
 
     /// Returns what is held against the task after a crash of a worker that was told to start it,
     /// and may have done so.
     pub fn after_unobserved_crash(self) -> CrashEvidence {
-        CrashEvidence { losses: self.losses + 1, ..self }
+        CrashEvidence { crashes_in_row: self.crashes_in_row + 1, ..self }
     }
 
     /// Returns what is held against the task after its worker fell silent.
@@ -167,22 +167,23 @@
     /// workers that is true of all tasks, and trials would let them begin one after the other.
     pub fn needs_probation(self) -> bool {
         let was_seen = 0 < self.age_ms;
-        self.age_ms <= PROBATION_MS && (was_seen || LOSSES_MIN <= self.losses)
+        self.age_ms <= PROBATION_MS && (was_seen || LOSSES_MIN <= self.crashes_in_row)
     }
 
     /// Returns whether the task must begin only while no workers crash.
     pub fn needs_quiet_period(self) -> bool {
-        LOSSES_CAREFUL <= self.losses + self.silent
+        LOSSES_CAREFUL <= self.crashes_in_row + self.silent
     }
 
     /// Returns whether the task has most likely caused the crashes.
     pub fn is_culprit(self) -> bool {
-        LOSSES_MIN <= self.losses && ODDS_MIN <= self.odds || self.is_at_crash_limit()
+        LOSSES_MIN <= self.crashes_in_row && ODDS_MIN <= self.likelihood_ratio
+            || self.is_at_crash_limit()
     }
 
     /// Returns whether the task must not start again, whatever the odds.
     pub fn is_at_crash_limit(self) -> bool {
-        LOSSES_MIN <= self.losses && LOSSES_MAX <= self.losses + self.silent
+        LOSSES_MIN <= self.crashes_in_row && LOSSES_MAX <= self.crashes_in_row + self.silent
     }
 }
 
--- a/src/policy/feedback.rs
+++ b/src/policy/feedback.rs
@@ -48,7 +48,7 @@
     pub unthrottled_tail_ms: u64,
     pub target_ms: u64,
     /// How old the report is.
-    pub lag_ms: u64,
+    pub report_age_ms: u64,
 }
 
 /// The feedback loop of one VM.
@@ -63,7 +63,7 @@
 
 impl FeedbackLoop {
     /// Returns whether new batch work is kept away from the VM.
-    pub fn is_closed(&self) -> bool {
+    pub fn is_closed_to_batch(&self) -> bool {
         self.closed
     }
 
@@ -91,7 +91,8 @@
         report: TailLatencyReport,
         worst: Option<TaskId>,
     ) -> FeedbackAction {
-        let TailLatencyReport { tail_ms, unthrottled_tail_ms, target_ms, lag_ms } = report;
+        let TailLatencyReport { tail_ms, unthrottled_tail_ms, target_ms, report_age_ms: lag_ms } =
+            report;
         let above = target_ms < tail_ms;
         // A throttled neighbour is let go once its estimated harm would fit again, not only when
         // the tail is far below: it holds its processors meanwhile and uses a part of them.
--- a/src/policy/interference.rs
+++ b/src/policy/interference.rs
@@ -32,7 +32,7 @@
 
 impl WorkloadHistory {
     /// Notes what runs on a VM from now on: kinds with their share of its processors.
-    pub fn note(&mut self, vm: VmId, now_ms: u64, kinds: Vec<(CompactString, f64)>) {
+    pub fn record(&mut self, vm: VmId, now_ms: u64, kinds: Vec<(CompactString, f64)>) {
         let list = self.scenes.entry(vm).or_default();
         list.push_back(Scene { since_ms: now_ms, kinds });
         // The last scene that began before the horizon still covers it.
@@ -42,7 +42,7 @@
     }
 
     /// Returns what ran on a VM at a time.
-    pub fn at(&self, vm: VmId, at_ms: u64) -> &[(CompactString, f64)] {
+    pub fn kinds_at(&self, vm: VmId, at_ms: u64) -> &[(CompactString, f64)] {
         let list = self.scenes.get(&vm);
         let found = list.and_then(|it| it.iter().rev().find(|it| it.since_ms <= at_ms));
         found.map_or(&[], |it| it.kinds.as_slice())
@@ -63,29 +63,33 @@
 
 impl InterferenceModel {
     /// Returns the harm that a full VM's worth of `kind` does to `class`.
-    pub fn harm(&self, class: &str, kind: &str) -> f64 {
+    pub fn added_slowdown(&self, class: &str, kind: &str) -> f64 {
         self.harm.get(&(class.into(), kind.into())).copied().unwrap_or(0.0)
     }
 
     /// Returns the tail of `class` with nothing harmful beside it, once it is known.
-    pub fn usual_ms(&self, class: &str) -> Option<f64> {
+    pub fn baseline_tail_ms(&self, class: &str) -> Option<f64> {
         self.usual_ms.get(class).copied()
     }
 
     /// Returns the slow-down of `class` to expect beside `kinds`.
     pub fn slowdown(&self, class: &str, kinds: &[(CompactString, f64)]) -> f64 {
-        1.0 + kinds.iter().map(|(kind, share)| self.harm(class, kind) * share).sum::<f64>()
+        1.0 + kinds
+            .iter()
+            .map(|(kind, share)| self.added_slowdown(class, kind) * share)
+            .sum::<f64>()
     }
 
     /// Learns the tail of `class` measured beside `kinds`.
     pub fn observe(&mut self, class: &str, tail_ms: f64, kinds: &[(CompactString, f64)]) {
         let predicted = self.slowdown(class, kinds);
-        let usual_ms = self.usual_ms.entry(class.into()).or_insert(tail_ms / predicted);
+        let baseline_tail_ms = self.usual_ms.entry(class.into()).or_insert(tail_ms / predicted);
         // The usual time follows reports from VMs where nothing else is thought to harm.
         let alone_ms = tail_ms / predicted;
-        let usual_gain = if kinds.is_empty() || alone_ms < *usual_ms { GAIN } else { GAIN / 10.0 };
-        *usual_ms += (alone_ms - *usual_ms) * usual_gain;
-        let error = (tail_ms / usual_ms.max(0.01)).min(20.0) - predicted;
+        let usual_gain =
+            if kinds.is_empty() || alone_ms < *baseline_tail_ms { GAIN } else { GAIN / 10.0 };
+        *baseline_tail_ms += (alone_ms - *baseline_tail_ms) * usual_gain;
+        let error = (tail_ms / baseline_tail_ms.max(0.01)).min(20.0) - predicted;
         let power: f64 = kinds.iter().map(|(_, share)| share * share).sum();
         if power <= 0.0 || PAIRS_MAX <= self.harm.len() {
             return;
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -53,7 +53,7 @@
     pub estimate_ms: u64,
     pub progress_percent: u32,
     /// Whether what it has done moves with it.
-    pub checkpoints: bool,
+    pub keeps_progress: bool,
     pub current_speed_share: f64,
 }
 
@@ -63,7 +63,7 @@
     let left = f64::from(left_percent) / 100.0;
     let whole_ms = it.estimate_ms.max(1) as f64;
     let here_ms = whole_ms * left / it.current_speed_share.max(SHARE_MIN);
-    let left_there = if it.checkpoints { left } else { 1.0 };
+    let left_there = if it.keeps_progress { left } else { 1.0 };
     let there_ms = MOVE_MS + whole_ms * left_there / share_there.max(SHARE_MIN);
     there_ms < here_ms * (1.0 - SAVED_MIN)
 }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -43,7 +43,7 @@
     fn interference(&self, vm: VmId) -> f64;
 
     /// Returns how many tasks of the same job stand in the VM's zone, and in its rack.
-    fn neighbours(&self, room: &FreeVmCapacity) -> (u32, u32);
+    fn same_job_counts(&self, room: &FreeVmCapacity) -> (u32, u32);
 }
 
 /// The free room of all open VMs, ordered by free processors.
@@ -66,7 +66,7 @@
     }
 
     /// Takes `need` from a VM's room.
-    pub fn take(&mut self, vm: VmId, need: Resources) {
+    pub fn allocate(&mut self, vm: VmId, need: Resources) {
         if let Some(mut room) = self.rooms.get(&vm).cloned() {
             room.free = subtract(room.free, need);
             self.set(vm, Some(room));
@@ -143,7 +143,7 @@
             Some(match aim {
                 PlacementStrategy::Pack => (0, 0, harm, left),
                 PlacementStrategy::Spread => {
-                    let (zone, rack) = cost.neighbours(room);
+                    let (zone, rack) = cost.same_job_counts(room);
                     (zone, rack, harm, u32::MAX - left)
                 }
             })
--- a/src/policy/preemption.rs
+++ b/src/policy/preemption.rs
@@ -9,11 +9,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Victim {
     pub task: TaskId,
-    pub holds: Resources,
+    pub resources: Resources,
     /// Run time that an eviction throws away.
-    pub lost_ms: u64,
+    pub lost_run_ms: u64,
     /// Whether its team is above its quota, so that it only borrows the room.
-    pub borrows: bool,
+    pub exceeds_quota: bool,
 }
 
 /// Chooses victims on one VM so that `need` fits into `free` and what they hold.
@@ -39,16 +39,17 @@
     victims: &[Victim],
 ) -> Option<(Vec<TaskId>, u64)> {
     let mut order: Vec<_> = victims.to_vec();
-    let price =
-        |it: &Victim| it.lost_ms.saturating_mul(1_000) / u64::from(it.holds.cpu_millicores.max(1));
-    order.sort_by_key(|it| (!it.borrows, price(it), it.task));
+    let price = |it: &Victim| {
+        it.lost_run_ms.saturating_mul(1_000) / u64::from(it.resources.cpu_millicores.max(1))
+    };
+    order.sort_by_key(|it| (!it.exceeds_quota, price(it), it.task));
     let mut room = free;
     let mut chosen = Vec::new();
     for it in &order {
         if fits(need, room) {
             break;
         }
-        room = add(room, it.holds);
+        room = add(room, it.resources);
         chosen.push(*it);
     }
     if !fits(need, room) {
@@ -57,11 +58,11 @@
     // What a later, larger victim made needless stays.
     for at in (0..chosen.len()).rev() {
         let others = chosen.iter().enumerate().filter(|(other, _)| *other != at);
-        if fits(need, others.fold(free, |sum, (_, it)| add(sum, it.holds))) {
+        if fits(need, others.fold(free, |sum, (_, it)| add(sum, it.resources))) {
             chosen.remove(at);
         }
     }
-    let lost_ms = chosen.iter().map(|it| it.lost_ms).sum();
+    let lost_ms = chosen.iter().map(|it| it.lost_run_ms).sum();
     Some((chosen.into_iter().map(|it| it.task).collect(), lost_ms))
 }
 
@@ -70,7 +71,7 @@
 pub enum EvictionPurpose {
     UrgentStart,
     /// A service beside it is above its target.
-    Relief,
+    LatencyRelief,
 }
 
 /// Evictions that a class still accepts, as a bucket that fills over an hour.
@@ -102,13 +103,13 @@
         self.tokens = (self.tokens + per_hour * elapsed_ms / 3_600_000.0).min(per_hour);
         let kept = match purpose {
             EvictionPurpose::UrgentStart => 0.0,
-            EvictionPurpose::Relief => per_hour / 8.0,
+            EvictionPurpose::LatencyRelief => per_hour / 8.0,
         };
         f64::from(count) + kept <= self.tokens
     }
 
     /// Takes evictions that [`EvictionBudget::allows`] has granted.
-    pub fn take(&mut self, count: u32) {
+    pub fn spend(&mut self, count: u32) {
         self.tokens -= f64::from(count);
     }
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -135,13 +135,13 @@
     }
 
     /// Returns whether the endpoint is left out or under probe.
-    pub fn is_out(&self) -> bool {
+    pub fn is_ejected_or_probing(&self) -> bool {
         self.health != Health::Open
     }
 
     /// Notes that a request is sent there: after an ejection it is the one probe.
     pub fn note_sent(&mut self) {
-        if self.is_out() {
+        if self.is_ejected_or_probing() {
             self.health = Health::HalfOpen;
         }
     }
@@ -152,7 +152,7 @@
     }
 
     /// Notes a probe that was refused before it ran, which says nothing either way.
-    pub fn note_refused(&mut self, now_ms: u64) {
+    pub fn note_probe_refused(&mut self, now_ms: u64) {
         if self.health == Health::HalfOpen {
             self.health = Health::Ejected { until_ms: now_ms + EJECTION_MIN_MS };
         }
--- a/src/policy/routing.rs
+++ b/src/policy/routing.rs
@@ -20,7 +20,7 @@
     /// Requests of this entry in flight there.
     pub own_in_flight: u32,
     /// Requests running and waiting there by its last report, those of other entries included.
-    pub reported: u32,
+    pub reported_in_flight: u32,
     pub report_age_ms: u64,
     /// Estimated time of one answer on a free slot.
     pub answer_ms: f64,
@@ -32,7 +32,7 @@
     // Old reports fade towards what this entry knows by itself.
     let weight = 0.5f64.powf(it.report_age_ms as f64 / REPORT_HALF_LIFE_MS);
     let own = f64::from(it.own_in_flight);
-    let load = own + (f64::from(it.reported) - own).max(0.0) * weight;
+    let load = own + (f64::from(it.reported_in_flight) - own).max(0.0) * weight;
     let slots = f64::from(it.slots.max(1));
     // Up to the slots a request starts at once; beyond them it waits for whole rounds. The small
     // part below the slots spreads requests over equal endpoints.
@@ -80,7 +80,7 @@
         self.mean_ms += (answer_ms - self.mean_ms) * gain;
     }
 
-    pub fn get_ms(self) -> f64 {
+    pub fn mean_ms(self) -> f64 {
         self.mean_ms
     }
 }
--- a/src/policy/task_queue.rs
+++ b/src/policy/task_queue.rs
@@ -129,8 +129,8 @@
     pub fn record_run_change(&mut self, team: &str, need: Resources, runs: RunChange) {
         let running = &mut self.teams.entry(team.into()).or_default().running;
         match runs {
-            RunChange::Starts => running.add(need),
-            RunChange::Ends => running.subtract(need),
+            RunChange::Started => running.add(need),
+            RunChange::Ended => running.subtract(need),
         }
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Moves batch tasks that have become due up a tier.
-    pub fn advance(&mut self, now_ms: u64) {
+    pub fn promote_due(&mut self, now_ms: u64) {
         while let Some(&(due_ms, task)) = self.due.first()
             && due_ms <= now_ms
         {
@@ -217,14 +217,14 @@
         }
         let mut res = Vec::new();
         while res.len() < limit
-            && let Some((borrows, _, _, name)) = heads.pop_first()
+            && let Some((exceeds_quota, _, _, name)) = heads.pop_first()
         {
             let Some((running, waiting)) = state.get_mut(name) else { continue };
             let Some((tier, _, task)) = waiting.next() else { continue };
             let Some((_, it)) = self.tasks.get(task) else { continue };
             let quota = self.teams.get(name).and_then(|it| it.quota).unwrap_or(it.need);
             running.add(it.need);
-            res.push(StartCandidate { task: *task, tier: *tier, need: it.need, borrows });
+            res.push(StartCandidate { task: *task, tier: *tier, need: it.need, exceeds_quota });
             let share = running.share_permille(quota);
             if let Some((tier, _, _)) = waiting.clone().next() {
                 heads.insert((1_000 <= share, *tier != Tier::Urgent, share, name));
@@ -237,8 +237,8 @@
 /// Whether a task begins or ends to use its team's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunChange {
-    Starts,
-    Ends,
+    Started,
+    Ended,
 }
 
 /// A task to try now.
@@ -248,5 +248,5 @@
     pub tier: Tier,
     pub need: Resources,
     /// Whether its team is above its quota already.
-    pub borrows: bool,
+    pub exceeds_quota: bool,
 }
--- a/src/policy/throttling.rs
+++ b/src/policy/throttling.rs
@@ -73,7 +73,7 @@
     pub full_speed_cores: f64,
     pub used_cores: f64,
     /// What a core of it takes from each of the serving tasks, in their order.
-    pub costs_percent: Vec<f64>,
+    pub core_costs_percent: Vec<f64>,
 }
 
 /// What a filler uses, over the time that a tail is read in.
@@ -94,7 +94,7 @@
 
 impl CpuUsageWindow {
     /// Makes the usage of a filler that begins now; the default is one that began long ago.
-    pub fn begun(now_ms: u64) -> CpuUsageWindow {
+    pub fn starting_at(now_ms: u64) -> CpuUsageWindow {
         CpuUsageWindow { at_ms: now_ms, ..CpuUsageWindow::default() }
     }
 
@@ -104,11 +104,11 @@
         let cores = if is_short_of_processor { read_cores } else { wanted_cores };
         self.pieces.push(Piece { from_ms: self.at_ms, to_ms: now_ms, cores });
         self.at_ms = now_ms;
-        self.pass(now_ms);
+        self.expire(now_ms);
     }
 
     /// Lets time pass after the filler has ended.
-    pub fn pass(&mut self, now_ms: u64) {
+    pub fn expire(&mut self, now_ms: u64) {
         let since_ms = now_ms.saturating_sub(TAIL_MS);
         self.pieces.retain(|it| since_ms < it.to_ms);
         let used = |it: &Piece| it.to_ms.saturating_sub(it.from_ms.max(since_ms)) as f64 * it.cores;
@@ -116,21 +116,21 @@
     }
 
     /// Returns whether tails may still tell of it.
-    pub fn counts(&self) -> bool {
+    pub fn affects_tails(&self) -> bool {
         !self.pieces.is_empty()
     }
 }
 
 impl FillerReading {
     /// Returns what it takes from a serving task at full speed.
-    fn taken_percent(&self, at: usize) -> f64 {
-        self.costs_percent[at] * self.full_speed_cores
+    fn used_percent(&self, at: usize) -> f64 {
+        self.core_costs_percent[at] * self.full_speed_cores
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Track {
-    rest_percent: f64,
+    idle_headroom_percent: f64,
     fall_percent_per_s: f64,
     at_ms: u64,
     over_since_ms: Option<u64>,
@@ -138,7 +138,12 @@
 
 impl Track {
     fn new(rest_percent: f64, now_ms: u64) -> Track {
-        Track { rest_percent, fall_percent_per_s: 0.0, at_ms: now_ms, over_since_ms: None }
+        Track {
+            idle_headroom_percent: rest_percent,
+            fall_percent_per_s: 0.0,
+            at_ms: now_ms,
+            over_since_ms: None,
+        }
     }
 
     /// Takes in a headroom, and what fillers took of it.
@@ -146,9 +151,9 @@
         let rest_percent = headroom_percent + taken_percent;
         if self.at_ms < now_ms {
             let passed_s = (now_ms - self.at_ms) as f64 / 1_000.0;
-            let fall = (self.rest_percent - rest_percent) / passed_s;
+            let fall = (self.idle_headroom_percent - rest_percent) / passed_s;
             self.fall_percent_per_s += (fall - self.fall_percent_per_s) * FALL_GAIN;
-            self.rest_percent = rest_percent;
+            self.idle_headroom_percent = rest_percent;
             self.at_ms = now_ms;
         }
         self.over_since_ms = match headroom_percent < BOUND_PERCENT {
@@ -160,7 +165,7 @@
     /// Returns what fillers may take by the time that paces work.
     fn room_percent(&self) -> f64 {
         let fall = self.fall_percent_per_s.clamp(0.0, FALL_MAX_PERCENT);
-        (self.rest_percent - fall * AHEAD_MS / 1_000.0 - AIM_PERCENT).max(0.0)
+        (self.idle_headroom_percent - fall * AHEAD_MS / 1_000.0 - AIM_PERCENT).max(0.0)
     }
 }
 
@@ -170,26 +175,32 @@
     /// Time for which fillers may keep a serving task over its bound.
     harm_max_ms: u64,
     tracks: HashMap<RunRef, Track>,
-    paces: HashMap<RunRef, u32>,
+    speed_percents: HashMap<RunRef, u32>,
     halted_until_ms: u64,
 }
 
 impl Throttler {
     /// Makes a pacer of fillers that may do harm for `harm_max_ms` on end.
     pub fn new(harm_max_ms: u64) -> Throttler {
-        Throttler { harm_max_ms, tracks: HashMap::new(), paces: HashMap::new(), halted_until_ms: 0 }
+        Throttler {
+            harm_max_ms,
+            tracks: HashMap::new(),
+            speed_percents: HashMap::new(),
+            halted_until_ms: 0,
+        }
     }
 
     /// Returns the share of its speed at which a filler may work.
-    pub fn percent(&self, filler: RunRef) -> u32 {
-        self.paces.get(&filler).copied().unwrap_or(100)
+    pub fn speed_percent(&self, filler: RunRef) -> u32 {
+        self.speed_percents.get(&filler).copied().unwrap_or(100)
     }
 
     /// Takes in a reading of all that serves and fills.
     pub fn observe(&mut self, serving: &[ServingReading], fillers: &[FillerReading], now_ms: u64) {
         self.tracks.retain(|run, _| serving.iter().any(|it| it.run == *run));
         for (at, it) in serving.iter().enumerate() {
-            let taken: f64 = fillers.iter().map(|it| it.costs_percent[at] * it.used_cores).sum();
+            let taken: f64 =
+                fillers.iter().map(|it| it.core_costs_percent[at] * it.used_cores).sum();
             let first = Track::new(it.headroom_percent + taken, now_ms);
             let track = self.tracks.entry(it.run).or_insert(first);
             track.observe(it.headroom_percent, taken, now_ms);
@@ -217,7 +228,7 @@
         let over_max_ms = self.harm_max_ms / OVER_PART;
         let mut paces = paces_within(&rooms, fillers);
         for (at, _) in serving.iter().enumerate().filter(|(_, it)| over_max_ms <= over_ms(it)) {
-            let takes = |it: &FillerReading| NEGLIGIBLE_COST_PERCENT < it.taken_percent(at);
+            let takes = |it: &FillerReading| NEGLIGIBLE_COST_PERCENT < it.used_percent(at);
             let taking = fillers.iter().zip(&mut paces).filter(|(it, _)| takes(it));
             taking.for_each(|(_, pace)| *pace = 0.0);
         }
@@ -229,15 +240,15 @@
             .zip(paces)
             .map(|(it, wanted)| (it.run, self.step_towards(it, wanted)))
             .collect();
-        self.paces = paces;
+        self.speed_percents = paces;
     }
 
     fn step_towards(&self, it: &FillerReading, wanted: f64) -> u32 {
-        let before = self.percent(it.run);
+        let before = self.speed_percent(it.run);
         let wanted = (wanted * 100.0) as u32 / GRAIN_PERCENT * GRAIN_PERCENT;
-        let is_known = self.paces.contains_key(&it.run);
-        let takes =
-            (0..it.costs_percent.len()).any(|at| NEGLIGIBLE_COST_PERCENT < it.taken_percent(at));
+        let is_known = self.speed_percents.contains_key(&it.run);
+        let takes = (0..it.core_costs_percent.len())
+            .any(|at| NEGLIGIBLE_COST_PERCENT < it.used_percent(at));
         match is_known && takes {
             true => wanted.min(before + RAISE_PERCENT),
             false => wanted,
@@ -253,16 +264,17 @@
 fn paces_within(rooms: &[f64], fillers: &[FillerReading]) -> Vec<f64> {
     let mut paces = vec![1.0; fillers.len()];
     for (at, room) in rooms.iter().enumerate() {
-        let taken = |it: &FillerReading| it.taken_percent(at);
+        let taken = |it: &FillerReading| it.used_percent(at);
         let taken: f64 = fillers.iter().zip(&paces).map(|(it, pace)| taken(it) * pace).sum();
         let mut excess = taken - room;
         let mut order: Vec<_> = (0..fillers.len()).collect();
         order.sort_by(|a, b| {
-            let (one, other) = (&fillers[*a].costs_percent[at], &fillers[*b].costs_percent[at]);
+            let (one, other) =
+                (&fillers[*a].core_costs_percent[at], &fillers[*b].core_costs_percent[at]);
             other.total_cmp(one).then(b.cmp(a))
         });
         for index in order {
-            let cost = fillers[index].taken_percent(at);
+            let cost = fillers[index].used_percent(at);
             if excess <= 0.0 {
                 break;
             }
--- a/src/runtime/adapters.rs
+++ b/src/runtime/adapters.rs
@@ -22,16 +22,18 @@
 #[derive(Clone)]
 pub(super) struct MessageSender {
     pub link: Link,
-    pub own: SocketAddr,
+    pub own_address: SocketAddr,
     pub loopback: Loopback,
 }
 
 impl MessageSender {
     fn send(&self, to: SocketAddr, in_force: Revision, message: Message) {
         let envelope = Envelope { in_force, message };
-        if to == self.own {
-            let event =
-                Event::Link(LinkEvent::Message { from: self.own, envelope: Box::new(envelope) });
+        if to == self.own_address {
+            let event = Event::Link(LinkEvent::Message {
+                from: self.own_address,
+                envelope: Box::new(envelope),
+            });
             self.loopback.borrow_mut().push_back(event);
         } else {
             self.link.send(to, envelope);
@@ -41,7 +43,7 @@
 
 /// Carries out an entry's effects.
 pub(super) struct EntryAdapter {
-    pub sending: MessageSender,
+    pub sender: MessageSender,
     pub pending: Pending,
     pub metrics: Arc<Metrics>,
 }
@@ -49,7 +51,7 @@
 impl Adapter<EntryCore> for EntryAdapter {
     fn carry(&mut self, effect: entry::Effect, in_force: Revision) {
         match effect {
-            entry::Effect::Send { to, message } => self.sending.send(to, in_force, message),
+            entry::Effect::Send { to, message } => self.sender.send(to, in_force, message),
             entry::Effect::Answer { token, answer } => {
                 self.pending.answer(token, http::caller::answer(answer))
             }
@@ -67,7 +69,7 @@
     W: Fn(WorkerCall) + Send + Sync + 'static,
     E: Fn(ExecutorCall) + Send + Sync + 'static,
 {
-    pub sending: MessageSender,
+    pub sender: MessageSender,
     pub pending: Pending,
     pub metrics: Arc<Metrics>,
     /// One thread, so that calls reach the worker in order.
@@ -82,7 +84,7 @@
 {
     fn carry(&mut self, effect: agent::Effect, in_force: Revision) {
         match effect {
-            agent::Effect::Send { to, message } => self.sending.send(to, in_force, message),
+            agent::Effect::Send { to, message } => self.sender.send(to, in_force, message),
             agent::Effect::Worker(it) => self.worker.submit(it),
             agent::Effect::Call(it) => self.executors.submit(it),
             agent::Effect::Answer { token, outcome } => {
@@ -98,7 +100,7 @@
 
 /// Carries out a control member's effects.
 pub(super) struct ControlAdapter {
-    pub sending: MessageSender,
+    pub sender: MessageSender,
     pub pending: Pending,
     pub metrics: Arc<Metrics>,
     pub disk: DiskWriter,
@@ -107,7 +109,7 @@
 impl Adapter<ControlCore> for ControlAdapter {
     fn carry(&mut self, effect: control::Effect, in_force: Revision) {
         match effect {
-            control::Effect::Send { to, message } => self.sending.send(to, in_force, message),
+            control::Effect::Send { to, message } => self.sender.send(to, in_force, message),
             control::Effect::Write { number, writes } => self.disk.submit(number, writes),
             control::Effect::Answer { token, outcome } => {
                 answer(&self.pending, &self.metrics, token, &outcome)
@@ -135,7 +137,7 @@
 /// Answers a request of an edge, and counts a refusal.
 fn answer(pending: &Pending, metrics: &Metrics, token: u64, outcome: &control::state::ReplyResult) {
     if let Err(it) = outcome {
-        metrics.refused(it.kind);
+        metrics.count_refusal(it.kind);
     }
     let answer = match outcome {
         Ok(it) => HttpAnswer::reply(it),
--- a/src/runtime/disk.rs
+++ b/src/runtime/disk.rs
@@ -109,7 +109,7 @@
                 Err(RecvTimeoutError::Timeout) if marked => continue,
                 Err(RecvTimeoutError::Timeout) => {
                     marked = true;
-                    let Err(report) = disk.mark() else { continue };
+                    let Err(report) = disk.write_durability_mark() else { continue };
                     let mut refused = Refused::new(Vec::new(), 0, report);
                     match refused.write(&mut disk, jobs, sink) {
                         Ok(()) if refused.number == 0 => continue,
@@ -121,7 +121,7 @@
                     }
                 }
                 Err(RecvTimeoutError::Disconnected) => {
-                    if let Err(report) = disk.mark() {
+                    if let Err(report) = disk.write_durability_mark() {
                         tracing::error!(event = "disk_failed", error = %format_args!("{report:#}"));
                     }
                     return;
@@ -175,7 +175,7 @@
         sink: &S,
     ) -> std::result::Result<(), error_stack::Report<Error>> {
         let began = Instant::now();
-        self.writes.drain(..disk.written());
+        self.writes.drain(..disk.durable_write_count());
         tracing::error!(event = "disk_refuses", error = %format_args!("{:#}", self.report), writes = self.writes.len());
         sink.refusal_changed(true);
         let mut tries = 0_u32;
@@ -192,7 +192,7 @@
             };
             tries += 1;
             let written = disk.retry_write(&self.writes);
-            self.writes.drain(..disk.written());
+            self.writes.drain(..disk.durable_write_count());
             let Err(report) = written else { break };
             if is_over || REFUSED_MAX < began.elapsed() {
                 return Err(report);
--- a/src/runtime/http_listeners.rs
+++ b/src/runtime/http_listeners.rs
@@ -44,7 +44,7 @@
         let it = match request {
             Ok(it) => it,
             Err(it) => {
-                self.metrics.refused(it.kind);
+                self.metrics.count_refusal(it.kind);
                 return Err(HttpAnswer::refusal(&it));
             }
         };
@@ -61,7 +61,7 @@
     }
 
     fn refuse(&self, it: &Refusal) -> Option<HttpAnswer> {
-        self.metrics.refused(it.kind);
+        self.metrics.count_refusal(it.kind);
         Some(HttpAnswer::refusal(it))
     }
 
--- a/src/runtime/process.rs
+++ b/src/runtime/process.rs
@@ -127,7 +127,7 @@
 }
 
 impl LinkSink for Sink {
-    fn accept(&self, event: LinkEvent) {
+    fn on_event(&self, event: LinkEvent) {
         let _ = self.events.send(Event::Link(event));
     }
 }
@@ -179,10 +179,13 @@
         let link =
             Link::start(options, self.metrics.clone(), Sink { events: self.events.clone() })?;
         let loopback: Loopback = Rc::new(RefCell::new(VecDeque::new()));
-        let sending =
-            MessageSender { link, own: self.settings.link.listen, loopback: loopback.clone() };
+        let sender = MessageSender {
+            link,
+            own_address: self.settings.link.listen,
+            loopback: loopback.clone(),
+        };
         let mut stakker = Stakker::new(Instant::now());
-        let actors = self.start_roles(&mut stakker, disk, &sending)?;
+        let actors = self.start_roles(&mut stakker, disk, &sender)?;
         tracing::info!(event = "started", process = %process.name, zone = %process.zone, link = %self.settings.link.listen);
         let ending = self.turn(&mut stakker, &actors, &loopback);
         tracing::info!(event = "ended", process = %process.name, ending = ?ending);
@@ -193,12 +196,12 @@
         let folder = Path::new(settings.data_folder.as_str());
         let identity = Identity::read(folder)?;
         let process = &self.settings.process;
-        let place = Place { region: process.region as u8, group: process.group as u8 };
-        if identity.place != place {
+        let group_id = Place { region: process.region as u8, group: process.group as u8 };
+        if identity.group_id != group_id {
             let message = format_compact!(
-                "{} belongs to {:?}, the settings say {place:?}",
+                "{} belongs to {:?}, the settings say {group_id:?}",
                 folder.display(),
-                identity.place
+                identity.group_id
             );
             return Err(Error::report(ErrorKind::BadRequest, message));
         }
@@ -210,7 +213,7 @@
         &self,
         stakker: &mut Stakker,
         disk: Option<OpenDisk>,
-        sending: &MessageSender,
+        sender: &MessageSender,
     ) -> Result<
         Actors<
             impl Fn(agent::WorkerCall) + Send + Sync + 'static,
@@ -235,17 +238,17 @@
             (Some(settings), Some(it)) => {
                 let edge = edge();
                 let options = ControlOptions {
-                    place: it.identity.place,
+                    group_id: it.identity.group_id,
                     member: it.identity.member,
                     address: link.listen,
-                    controls: link.control.clone(),
+                    control_addresses: link.control.clone(),
                     settings: settings.clone(),
                     boot: fastrand::u64(..),
                     dispatch: None,
-                    voters: 0,
+                    target_voter_count: 0,
                 };
                 let adapter = ControlAdapter {
-                    sending: sending.clone(),
+                    sender: sender.clone(),
                     pending: edge.pending.clone(),
                     metrics: metrics.clone(),
                     disk: DiskWriter::start(it.disk, metrics.clone(), self.events.clone())?,
@@ -262,7 +265,7 @@
                 let edge = edge();
                 let options = AgentOptions {
                     address: link.listen,
-                    controls: link.control.clone(),
+                    control_addresses: link.control.clone(),
                     zone: process.zone.clone(),
                     rack: process.rack.clone(),
                     settings: settings.clone(),
@@ -270,7 +273,7 @@
                 };
                 let threads = settings.threads as usize;
                 let adapter = AgentAdapter {
-                    sending: sending.clone(),
+                    sender: sender.clone(),
                     pending: edge.pending.clone(),
                     metrics: metrics.clone(),
                     worker: ThreadPool::new(1, worker_caller(settings.worker, self.events.clone())),
@@ -293,12 +296,12 @@
                     name: process.name.clone(),
                     zone: process.zone.clone(),
                     address: link.listen,
-                    controls: link.control.clone(),
+                    control_addresses: link.control.clone(),
                     settings: settings.clone(),
                     boot: fastrand::u64(..),
                 };
                 let adapter = EntryAdapter {
-                    sending: sending.clone(),
+                    sender: sender.clone(),
                     pending: edge.pending.clone(),
                     metrics: metrics.clone(),
                 };
@@ -377,7 +380,9 @@
     fn dispatch(&self, event: Event) {
         match event {
             Event::Link(LinkEvent::Message { from, envelope }) => self.deliver(from, *envelope),
-            Event::Link(LinkEvent::Lost { peer }) => self.to_entry(entry::Input::LinkLost { peer }),
+            Event::Link(LinkEvent::ConnectionLost { peer }) => {
+                self.to_entry(entry::Input::LinkLost { peer })
+            }
             Event::Entry(it) => self.to_entry(*it),
             Event::Agent(it) => self.to_agent(*it),
             Event::Control(it) => self.to_control(*it),
--- a/src/runtime/single_threaded/adapters.rs
+++ b/src/runtime/single_threaded/adapters.rs
@@ -31,13 +31,13 @@
 #[derive(Clone)]
 pub(super) struct MessageSender {
     pub link: Link,
-    pub own: SocketAddr,
+    pub own_address: SocketAddr,
     pub loopback: Loopback,
 }
 
 impl MessageSender {
     fn send(&self, to: SocketAddr, message: Message) {
-        if to == self.own {
+        if to == self.own_address {
             self.loopback.borrow_mut().push_back((to, message));
         } else {
             self.link.send(to, Envelope { in_force: Revision(0), message });
@@ -46,20 +46,20 @@
 }
 
 pub(super) struct GatewayAdapter<P: Platform> {
-    pub sending: MessageSender,
+    pub sender: MessageSender,
     pub pending: Pending,
     pub platform: P,
     pub is_stopping: Rc<Cell<bool>>,
     /// When the newest request came, or the newest answer was given.
-    pub served: Rc<Cell<Instant>>,
+    pub last_activity: Rc<Cell<Instant>>,
     pub metrics: Arc<Metrics>,
 }
 
 impl<P: Platform> GatewayAdapter<P> {
     fn count(&self, answer: &gateway::GatewayAnswer, took_ms: u64) {
         let end = match answer {
-            gateway::GatewayAnswer::Told(_) => "told",
-            gateway::GatewayAnswer::NotTaken { cause, .. } => {
+            gateway::GatewayAnswer::Outcome(_) => "told",
+            gateway::GatewayAnswer::Rejected { cause, .. } => {
                 self.metrics.gateway_refused(*cause);
                 "not_taken"
             }
@@ -72,10 +72,10 @@
 impl<P: Platform> Adapter<GatewayCore> for GatewayAdapter<P> {
     fn carry(&mut self, effect: gateway::Effect, _in_force: Revision) {
         match effect {
-            gateway::Effect::Send { to, message } => self.sending.send(to, message),
+            gateway::Effect::Send { to, message } => self.sender.send(to, message),
             gateway::Effect::Answer { token, answer, took_ms } => {
                 self.count(&answer, took_ms);
-                self.served.set(Instant::now());
+                self.last_activity.set(Instant::now());
                 let mut answer = self.platform.answer(&answer);
                 if self.is_stopping.get() {
                     // The next request of this client has to go to another process.
@@ -90,7 +90,7 @@
 }
 
 pub(super) struct NodeAdapter<P: Platform> {
-    pub sending: MessageSender,
+    pub sender: MessageSender,
     pub platform: P,
     pub pool: OutgoingPool,
     pub timeout_ms: u64,
@@ -101,7 +101,7 @@
 impl<P: Platform> Adapter<NodeCore> for NodeAdapter<P> {
     fn carry(&mut self, effect: node::Effect, _in_force: Revision) {
         match effect {
-            node::Effect::Send { to, message } => self.sending.send(to, message),
+            node::Effect::Send { to, message } => self.sender.send(to, message),
             node::Effect::AnnouncementIgnored(cause) => {
                 self.metrics.announcement_passed_over(cause)
             }
@@ -131,7 +131,7 @@
 const STALE_CALL_MS: u64 = 300;
 
 pub(super) struct MemberAdapter {
-    pub sending: MessageSender,
+    pub sender: MessageSender,
     pub disk: DiskWriter,
     pub metrics: Arc<Metrics>,
 }
@@ -139,7 +139,7 @@
 impl Adapter<ControlCore> for MemberAdapter {
     fn carry(&mut self, effect: control::Effect, _in_force: Revision) {
         match effect {
-            control::Effect::Send { to, message } => self.sending.send(to, message),
+            control::Effect::Send { to, message } => self.sender.send(to, message),
             control::Effect::Write { number, writes } => self.disk.submit(number, writes),
             // Operations come over links only: this process has no edge of the older interface.
             control::Effect::Answer { .. } => (),
--- a/src/runtime/single_threaded/mod.rs
+++ b/src/runtime/single_threaded/mod.rs
@@ -152,7 +152,7 @@
 }
 
 impl LinkSink for SingleThreadedHandle {
-    fn accept(&self, event: LinkEvent) {
+    fn on_event(&self, event: LinkEvent) {
         self.post(Event::Link(event));
     }
 }
@@ -194,7 +194,7 @@
     statuses: Vec<Arc<RoleStatus>>,
     is_stopping: Rc<Cell<bool>>,
     /// When the newest request came, or the newest answer was given.
-    served: Rc<Cell<Instant>>,
+    last_activity: Rc<Cell<Instant>>,
 }
 
 impl<P: Platform> SingleThreadedProcess<P> {
@@ -245,10 +245,13 @@
         let options = LinkOptions::new(&self.settings);
         let link = Link::start_local(options, self.metrics.clone(), self.handle.clone())?;
         let loopback = Loopback::default();
-        let sending =
-            MessageSender { link, own: self.settings.link.listen, loopback: loopback.clone() };
+        let sender = MessageSender {
+            link,
+            own_address: self.settings.link.listen,
+            loopback: loopback.clone(),
+        };
         let mut stakker = Stakker::new(Instant::now());
-        let actors = self.start_roles(&mut stakker, disk, &sending)?;
+        let actors = self.start_roles(&mut stakker, disk, &sender)?;
         tracing::info!(event = "started", process = %process.name, zone = %process.zone, link = %self.settings.link.listen, roles = ?process.roles);
         let ending = self.turn(&mut stakker, &actors, &loopback).await;
         tracing::info!(event = "ended", process = %process.name, ending = ?ending);
@@ -259,14 +262,15 @@
     fn open_disk(&self, settings: &DispatchSettings) -> Result<OpenDisk> {
         let folder = Path::new(settings.data_folder.as_str());
         let process = &self.settings.process;
-        let place = Place { region: process.region as u8, group: process.group as u8 };
+        let group_id = Place { region: process.region as u8, group: process.group as u8 };
         let founders = match settings.first_start {
             0 => Vec::new(),
             _ => control_links(&self.settings),
         };
-        let identity = Identity::read_or_make(folder, place, self.settings.link.listen, &founders)?;
+        let identity =
+            Identity::read_or_make(folder, group_id, self.settings.link.listen, &founders)?;
         let (disk, recovered) = Disk::open(folder, &identity, settings.free_min_bytes.into())?;
-        tracing::info!(event = "disk_opened", member = %identity.member, founders = identity.founders.len(), entries = recovered.entries.len(), term = recovered.hard.term);
+        tracing::info!(event = "disk_opened", member = %identity.member, founders = identity.founders.len(), entries = recovered.entries.len(), term = recovered.hard_state.term);
         Ok(OpenDisk { disk, recovered, identity })
     }
 
@@ -274,7 +278,7 @@
         &self,
         stakker: &mut Stakker,
         disk: Option<OpenDisk>,
-        sending: &MessageSender,
+        sender: &MessageSender,
     ) -> Result<Actors<P>> {
         let mut statuses = Vec::new();
         let mut status = || {
@@ -288,7 +292,7 @@
         let member = match (&self.settings.dispatch, disk) {
             (Some(settings), Some(it)) => {
                 let adapter = MemberAdapter {
-                    sending: sending.clone(),
+                    sender: sender.clone(),
                     disk: DiskWriter::start(it.disk, self.metrics.clone(), self.handle.clone())?,
                     metrics: self.metrics.clone(),
                 };
@@ -301,14 +305,14 @@
         let node = match &self.settings.node {
             Some(settings) => {
                 let adapter = NodeAdapter {
-                    sending: sending.clone(),
+                    sender: sender.clone(),
                     platform: self.platform.clone(),
                     pool: OutgoingPool::new(settings.worker),
                     timeout_ms: settings.call_timeout_ms.into(),
                     handle: self.handle.clone(),
                     metrics: self.metrics.clone(),
                 };
-                let core = NodeCore::new(node_options(settings, sending.own, &controls));
+                let core = NodeCore::new(node_options(settings, sender.own_address, &controls));
                 let status = status();
                 self.start_worker_edge(settings)?;
                 self.start_metrics(settings.metrics_listen)?;
@@ -320,14 +324,15 @@
             Some(settings) => {
                 let pending = Pending::default();
                 let adapter = GatewayAdapter {
-                    sending: sending.clone(),
+                    sender: sender.clone(),
                     pending: pending.clone(),
                     platform: self.platform.clone(),
                     is_stopping: is_stopping.clone(),
-                    served: served.clone(),
+                    last_activity: served.clone(),
                     metrics: self.metrics.clone(),
                 };
-                let core = GatewayCore::new(gateway_options(settings, sending.own, &controls));
+                let core =
+                    GatewayCore::new(gateway_options(settings, sender.own_address, &controls));
                 let status = status();
                 self.start_gateway_edge(settings, &pending, served.clone())?;
                 self.start_readiness(settings.readiness_listen, status.clone())?;
@@ -336,7 +341,7 @@
             }
             None => None,
         };
-        Ok(Actors { gateway, node, member, statuses, is_stopping, served })
+        Ok(Actors { gateway, node, member, statuses, is_stopping, last_activity: served })
     }
 
     fn control_options(
@@ -347,10 +352,10 @@
     ) -> ControlOptions {
         let lease_ms = settings.lease_ms.min(settings.lease_max_ms);
         ControlOptions {
-            place: identity.place,
+            group_id: identity.group_id,
             member: identity.member,
             address: self.settings.link.listen,
-            controls: controls.to_vec(),
+            control_addresses: controls.to_vec(),
             settings: member_settings(settings, self.settings.link.listen),
             boot: fastrand::u64(..),
             dispatch: Some(DispatchOptions {
@@ -361,7 +366,7 @@
                 retention_ms: u64::from(settings.retention_s) * 1_000,
                 plan: PlanOptions { interval_ms: settings.plan_interval_ms.into() },
             }),
-            voters: settings.losses_tolerated as usize * 2 + 1,
+            target_voter_count: settings.losses_tolerated as usize * 2 + 1,
         }
     }
 
@@ -385,7 +390,7 @@
             let it = match it {
                 Ok(it) => it,
                 Err(it) => {
-                    metrics.refused(it.kind);
+                    metrics.count_refusal(it.kind);
                     tracing::info!(event = "request_unreadable", kind = %it.kind, detail = %it.detail);
                     return Some(platform.refusal(&it));
                 }
@@ -402,7 +407,7 @@
                     None
                 }
                 Err(answer) => {
-                    metrics.refused(ErrorKind::BadRequest);
+                    metrics.count_refusal(ErrorKind::BadRequest);
                     tracing::info!(event = "request_unreadable", path = %it.path, status = answer.status);
                     Some(answer)
                 }
@@ -503,7 +508,7 @@
                 (Some(_), None) => (EDGE_STOP_MIN, EDGE_QUIET),
                 (Some(_), Some(_)) => (MEMBER_QUIET, MEMBER_QUIET),
             };
-            let drained = drained && quiet <= actors.served.get().elapsed();
+            let drained = drained && quiet <= actors.last_activity.get().elapsed();
             match since.elapsed() {
                 elapsed if drained && least <= elapsed => return ExitReason::Drained,
                 elapsed if drain_max <= elapsed => return ExitReason::CutOff,
@@ -548,7 +553,7 @@
             Event::Persisted(number) => self.to_member(control::Input::Persisted { number }),
             Event::DiskFull(it) => self.to_member(control::Input::DiskFull(it)),
             Event::DiskWritesRefused(it) => self.to_member(control::Input::DiskWritesRefused(it)),
-            Event::Link(LinkEvent::Lost { peer }) => {
+            Event::Link(LinkEvent::ConnectionLost { peer }) => {
                 tracing::debug!(event = "link_lost", %peer);
             }
             Event::DiskFailed(_) | Event::Stop | Event::Kill | Event::Reload => (),
--- a/src/standin/layout.rs
+++ b/src/standin/layout.rs
@@ -82,7 +82,7 @@
             let data = folder.join(format!("control-{}", at + 1));
             let identity = Identity {
                 member: MemberId(at as u64 + 1),
-                place: Place { region: 1, group: 1 },
+                group_id: Place { region: 1, group: 1 },
                 founders: founders.clone(),
             };
             identity.create(&data)?;
--- a/src/util/step.rs
+++ b/src/util/step.rs
@@ -14,7 +14,7 @@
 
 impl StepRef {
     /// Returns the step of a task.
-    pub fn of(it: TaskRef) -> StepRef {
+    pub fn of_task(it: TaskRef) -> StepRef {
         StepRef { workflow: it.workflow, occurrence: it.occurrence, step: it.step }
     }
 }
--- a/tests/disk.rs
+++ b/tests/disk.rs
@@ -11,7 +11,7 @@
 
 fn identity() -> Identity {
     let founders = vec![Member { id: MemberId(1), address: "127.0.0.1:1".parse().unwrap() }];
-    Identity { member: MemberId(1), place: Place { region: 1, group: 1 }, founders }
+    Identity { member: MemberId(1), group_id: Place { region: 1, group: 1 }, founders }
 }
 
 fn open(folder: &Path) -> Result<(Disk, RecoveredState)> {
@@ -47,7 +47,7 @@
     let folder = tempfile::tempdir().unwrap();
     ten_entries(folder.path());
     let (mut disk, recovered) = open(folder.path()).unwrap();
-    assert_eq!(recovered.hard, HardState { term: 3, vote: Some(MemberId(1)) });
+    assert_eq!(recovered.hard_state, HardState { term: 3, vote: Some(MemberId(1)) });
     assert_eq!(
         recovered.entries.iter().map(|it| it.index).collect::<Vec<_>>(),
         (1..=10).collect::<Vec<_>>()
@@ -67,7 +67,7 @@
     drop(disk);
     let (_, recovered) = open(folder.path()).unwrap();
     assert_eq!(recovered.snapshot, Some(snapshot));
-    assert_eq!(recovered.hard.term, 3, "the vote is carried over");
+    assert_eq!(recovered.hard_state.term, 3, "the vote is carried over");
     assert_eq!(recovered.entries.iter().map(|it| it.index).collect::<Vec<_>>(), [9, 10]);
     assert!(!folder.path().join("log-0").exists());
 }
@@ -117,7 +117,7 @@
 fn mark_lets_damage_to_the_last_record_show() {
     let folder = tempfile::tempdir().unwrap();
     let log = ten_entries(folder.path());
-    open(folder.path()).unwrap().0.mark().unwrap();
+    open(folder.path()).unwrap().0.write_durability_mark().unwrap();
     let mut data = fs::read(&log).unwrap();
     let at = data.len() - 40;
     data[at] ^= 1;
--- a/tests/disk_refused.rs
+++ b/tests/disk_refused.rs
@@ -13,7 +13,7 @@
 
 fn identity() -> Identity {
     let founders = vec![Member { id: MemberId(1), address: "127.0.0.1:1".parse().unwrap() }];
-    Identity { member: MemberId(1), place: Place { region: 1, group: 1 }, founders }
+    Identity { member: MemberId(1), group_id: Place { region: 1, group: 1 }, founders }
 }
 
 fn open(folder: &std::path::Path) -> (Disk, RecoveredState) {
@@ -51,7 +51,7 @@
     drop(disk);
     let (_, recovered) = open(folder.path());
     assert_eq!(indexes(&recovered), expected);
-    assert_eq!(recovered.hard.term, 1);
+    assert_eq!(recovered.hard_state.term, 1);
 }
 
 #[test]
--- a/tests/dispatch_work.rs
+++ b/tests/dispatch_work.rs
@@ -1,13 +1,13 @@
 //! What grows with the fleet in the leader's work, by counts and not by time.
 #![allow(clippy::unwrap_used)]
 
-use aspenrail::bench::dispatch::{Looks, measure};
+use aspenrail::bench::dispatch::{RowsVisited, measure};
 
 /// Tasks that wait: as many steps at any size.
 const WAITING: u32 = 400;
 
-fn looks(workers: u64) -> Looks {
-    measure(workers, WAITING).looks
+fn looks(workers: u64) -> RowsVisited {
+    measure(workers, WAITING).rows_visited
 }
 
 /// A worker that enrols concerns itself and the lifetimes beside its node.
--- a/tests/errors.rs
+++ b/tests/errors.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used)]
 
 use aspenrail::{
-    error::{ERROR_ANSWERS, ExecutionStatus, answer_of},
+    error::{ERROR_ANSWERS, ExecutionStatus, answer_for_error},
     metrics::Metrics,
     prelude::*,
 };
@@ -15,7 +15,7 @@
     let listed: Vec<_> = ERROR_ANSWERS.iter().map(|it| it.kind.to_string()).collect();
     assert_eq!(kinds.iter().map(|it| it.as_str().unwrap()).collect::<Vec<_>>(), listed);
     for row in ERROR_ANSWERS {
-        assert_eq!(answer_of(row.kind), *row);
+        assert_eq!(answer_for_error(row.kind), *row);
     }
 }
 
@@ -24,7 +24,7 @@
     for row in ERROR_ANSWERS {
         assert!((400..600).contains(&row.status), "{row:?}");
         let blames_caller = row.status < 500 && row.kind != ErrorKind::ClaimInProgress;
-        assert!(!(blames_caller && row.ran == ExecutionStatus::Unknown), "{row:?}");
+        assert!(!(blames_caller && row.execution == ExecutionStatus::Unknown), "{row:?}");
     }
 }
 
@@ -61,7 +61,7 @@
             "| `{}` | {} | {} | {} |",
             row.kind,
             row.status,
-            row.ran.as_str(),
+            row.execution.as_str(),
             if row.retryable { "yes" } else { "no" }
         );
         assert!(page.contains(&line), "docs/API.md lacks: {line}");
