--- a/tests/fillers.rs
+++ b/tests/fillers.rs
@@ -28,7 +28,7 @@
     throttler: Throttler,
     usage: CpuUsageWindow,
     now_ms: u64,
-    rest_percent: f64,
+    idle_headroom_percent: f64,
     cost_percent: f64,
     told_percent: f64,
 }
@@ -41,11 +41,18 @@
 impl Beside {
     fn new(cost_percent: f64, told_percent: f64) -> Beside {
         let (throttler, usage) = (Throttler::new(HARM_MAX_MS), CpuUsageWindow::default());
-        Beside { throttler, usage, now_ms: 1_000, rest_percent: 250.0, cost_percent, told_percent }
+        Beside {
+            throttler,
+            usage,
+            now_ms: 1_000,
+            idle_headroom_percent: 250.0,
+            cost_percent,
+            told_percent,
+        }
     }
 
     fn pace(&self) -> u32 {
-        self.throttler.percent(run(2, 0))
+        self.throttler.speed_percent(run(2, 0))
     }
 
     fn cores(&self) -> f64 {
@@ -53,7 +60,7 @@
     }
 
     fn headroom(&self) -> f64 {
-        (self.rest_percent - self.cost_percent * self.cores()).max(5.0)
+        (self.idle_headroom_percent - self.cost_percent * self.cores()).max(5.0)
     }
 
     fn read(&mut self) {
@@ -64,7 +71,7 @@
             run: run(2, 0),
             full_speed_cores: FILLER_CORES,
             used_cores: self.usage.cores,
-            costs_percent: vec![self.told_percent],
+            core_costs_percent: vec![self.told_percent],
         };
         self.throttler.observe(&[serving], &[filler], self.now_ms);
     }
@@ -94,7 +101,7 @@
 #[test]
 fn a_tail_that_stays_over_its_bound_halts_all_fillers() {
     let mut it = Beside::new(0.0, 0.0);
-    it.rest_percent = 60.0;
+    it.idle_headroom_percent = 60.0;
     (0..12).for_each(|_| it.read());
     assert_eq!(it.pace(), 0);
 }
@@ -106,7 +113,7 @@
 )]
 fn all_fillers_are_halted_within_half_the_time_that_harm_may_last(harm_max_ms: u64) {
     let mut it = Beside::new(0.0, 0.0);
-    (it.throttler, it.rest_percent) = (Throttler::new(harm_max_ms), 60.0);
+    (it.throttler, it.idle_headroom_percent) = (Throttler::new(harm_max_ms), 60.0);
     let began_ms = it.now_ms;
     while it.pace() != 0 && it.now_ms < began_ms + harm_max_ms {
         it.read();
@@ -133,12 +140,15 @@
         run: run(2, index),
         full_speed_cores: 8.0,
         used_cores: 0.0,
-        costs_percent: vec![cost],
+        core_costs_percent: vec![cost],
     };
     let mut throttler = Throttler::new(HARM_MAX_MS);
     throttler.observe(&[serving], &[filler(0, 20.0), filler(1, 1.0), filler(2, 1.0)], 1_000);
-    assert!(throttler.percent(run(2, 0)) < 20, "{throttler:?}");
-    assert_eq!((throttler.percent(run(2, 1)), throttler.percent(run(2, 2))), (100, 100));
+    assert!(throttler.speed_percent(run(2, 0)) < 20, "{throttler:?}");
+    assert_eq!(
+        (throttler.speed_percent(run(2, 1)), throttler.speed_percent(run(2, 2))),
+        (100, 100)
+    );
 }
 
 #[yare::parameterized(
@@ -154,7 +164,7 @@
 /// Two VMs with tasks of one service under a swinging load; one of them has fillers beside it.
 #[test]
 fn harm_is_learned_by_pair_under_a_swinging_load() {
-    let mut harm = ContentionModel::default();
+    let mut contention = ContentionModel::default();
     let mut random = fastrand::Rng::with_seed(5);
     for at in 0..60_u64 {
         let now_ms = at * 250;
@@ -162,21 +172,22 @@
         let noise = (random.f64() - 0.5) * 30.0;
         let (heavy, light) = (random.f64() * 6.0, random.f64() * 6.0);
         let fillers = [
-            FillerLoad { image: harm.image("heavy"), cores: heavy },
-            FillerLoad { image: harm.image("light"), cores: light },
+            FillerLoad { image: contention.image("heavy"), cores: heavy },
+            FillerLoad { image: contention.image("light"), cores: light },
         ];
-        let image = harm.image("web");
+        let image = contention.image("web");
         let serving = |index: u32, headroom_percent: f64| ServingTask {
             run: run(1, index),
             image,
             headroom_percent,
         };
         let rest = 270.0 + swing;
-        harm.observe(&[serving(0, rest)], &[], now_ms);
+        contention.observe(&[serving(0, rest)], &[], now_ms);
         let beside = rest - 12.0 * heavy - 0.5 * light + noise;
-        harm.observe(&[serving(1, beside)], &fillers, now_ms);
+        contention.observe(&[serving(1, beside)], &fillers, now_ms);
     }
-    let (heavy, light) = (cost(&mut harm, "web", "heavy"), cost(&mut harm, "web", "light"));
+    let (heavy, light) =
+        (cost(&mut contention, "web", "heavy"), cost(&mut contention, "web", "light"));
     assert!((8.0..16.0).contains(&heavy), "{heavy}");
     assert!(light < 3.0, "{light}");
 }
@@ -184,21 +195,21 @@
 /// Two tasks of one service with mild fillers beside both, read as roughly as on the users' VMs.
 #[test]
 fn rough_readings_alone_make_no_filler_dear() {
-    let mut harm = ContentionModel::default();
+    let mut contention = ContentionModel::default();
     let mut random = fastrand::Rng::with_seed(7);
     let fillers = ["one", "two", "three", "four"];
     for at in 0..80_u64 {
-        let image = harm.image("web");
+        let image = contention.image("web");
         for index in 0..2 {
             let beside: Vec<_> = fillers
                 .iter()
                 .filter(|_| random.bool())
-                .map(|it| FillerLoad { image: harm.image(it), cores: 7.0 })
+                .map(|it| FillerLoad { image: contention.image(it), cores: 7.0 })
                 .collect();
             let taken: f64 = beside.iter().map(|it| 0.7 * it.cores).sum();
             let rough = 1.0 + (random.f64() + random.f64() - 1.0) * 0.25;
             let headroom_percent = (250.0 - taken) * rough;
-            harm.observe(
+            contention.observe(
                 &[ServingTask { run: run(1, index), image, headroom_percent }],
                 &beside,
                 at * 250,
@@ -206,43 +217,43 @@
         }
     }
     // Half of what an unknown pair is taken to cost; the truth is 0.7.
-    let costs: Vec<_> = fillers.iter().map(|it| cost(&mut harm, "web", it)).collect();
+    let costs: Vec<_> = fillers.iter().map(|it| cost(&mut contention, "web", it)).collect();
     let mean = costs.iter().sum::<f64>() / costs.len() as f64;
     assert!(mean < 2.0, "{mean}: {costs:?}");
 }
 
 #[test]
 fn a_dear_filler_is_told_within_three_seconds_beside_a_rising_load() {
-    let mut harm = ContentionModel::default();
+    let mut contention = ContentionModel::default();
     let mut random = fastrand::Rng::with_seed(3);
     // Six tasks of a service on six VMs, four of them with a filler that takes 13 % a core.
     for at in 0..6_u64 {
-        let image = harm.image("web");
+        let image = contention.image("web");
         let rest = 330.0 - at as f64 * 25.0;
         for index in 0..6 {
             let cores = if index < 4 { 7.0 } else { 0.0 };
-            let heavy = FillerLoad { image: harm.image("heavy"), cores };
+            let heavy = FillerLoad { image: contention.image("heavy"), cores };
             let rough = 1.0 + (random.f64() + random.f64() - 1.0) * 0.25;
             let headroom_percent = (rest - 13.0 * cores) * rough;
             let beside = if index < 4 { vec![heavy] } else { Vec::new() };
-            harm.observe(
+            contention.observe(
                 &[ServingTask { run: run(1, index), image, headroom_percent }],
                 &beside,
                 at * 500,
             );
         }
     }
-    let heavy = cost(&mut harm, "web", "heavy");
+    let heavy = cost(&mut contention, "web", "heavy");
     assert!((9.0..17.0).contains(&heavy), "{heavy}; the truth is 13");
 }
 
 /// A service whose load swings between a fifth and three quarters of what it reserves.
 #[test]
 fn what_services_use_of_their_room_follows_their_load() {
-    let mut harm = ContentionModel::default();
-    let image = harm.image("web");
-    let group = StepRef::of(run(1, 0).task);
-    assert_eq!(harm.use_share(image, group), 0.45, "nothing is known yet");
+    let mut contention = ContentionModel::default();
+    let image = contention.image("web");
+    let group = StepRef::of_task(run(1, 0).task);
+    assert_eq!(contention.cpu_use_share(image, group), 0.45, "nothing is known yet");
     let mut most_off: f64 = 0.0;
     for at in 0..160_u64 {
         let load = 0.45 * (1.0 + 0.6 * (at as f64 * 0.25 / 14.0 * std::f64::consts::TAU).sin());
@@ -251,9 +262,9 @@
             image,
             headroom_percent: 500.0 * (1.0 - load),
         };
-        harm.observe(&[serving(0), serving(1), serving(2)], &[], at * 250);
+        contention.observe(&[serving(0), serving(1), serving(2)], &[], at * 250);
         if 60 <= at {
-            most_off = most_off.max((harm.use_share(image, group) - load).abs());
+            most_off = most_off.max((contention.cpu_use_share(image, group) - load).abs());
         }
     }
     assert!(most_off < 0.15, "{most_off}");
@@ -267,40 +278,40 @@
 
 #[test]
 fn what_a_filler_used_counts_until_tails_no_longer_tell_of_it() {
-    let mut usage = CpuUsageWindow::begun(1_000);
+    let mut usage = CpuUsageWindow::starting_at(1_000);
     usage.observe(2.0, 2.0, 1_350);
     assert_eq!(usage.cores, 1.0, "half of the 700 ms before a reading");
-    usage.pass(1_875);
+    usage.expire(1_875);
     assert_eq!(usage.cores, 0.5, "it has ended, and a quarter of its time still counts");
-    usage.pass(2_050);
-    assert!(usage.cores == 0.0 && !usage.counts());
+    usage.expire(2_050);
+    assert!(usage.cores == 0.0 && !usage.affects_tails());
 }
 
 #[test]
 fn more_images_than_are_remembered_mix_nothing_up() {
-    let mut harm = ContentionModel::default();
+    let mut contention = ContentionModel::default();
     for at in 0..200_u64 {
         let now_ms = at * 250;
-        let image = harm.image("web");
+        let image = contention.image("web");
         let serving = |index: u32, headroom_percent: f64| ServingTask {
             run: run(1, index),
             image,
             headroom_percent,
         };
-        let other = FillerLoad { image: harm.image(&format!("other-{at}")), cores: 3.0 };
-        let heavy = FillerLoad { image: harm.image("heavy"), cores: 6.0 };
-        harm.observe(&[serving(0, 270.0)], &[], now_ms);
-        harm.observe(&[serving(1, 270.0 - 6.0 * 12.0)], &[heavy, other], now_ms);
+        let other = FillerLoad { image: contention.image(&format!("other-{at}")), cores: 3.0 };
+        let heavy = FillerLoad { image: contention.image("heavy"), cores: 6.0 };
+        contention.observe(&[serving(0, 270.0)], &[], now_ms);
+        contention.observe(&[serving(1, 270.0 - 6.0 * 12.0)], &[heavy, other], now_ms);
     }
-    let heavy = cost(&mut harm, "web", "heavy");
+    let heavy = cost(&mut contention, "web", "heavy");
     assert!((9.0..13.0).contains(&heavy), "{heavy}");
-    assert!(harm.known().len() <= 32, "{}", harm.known().len());
+    assert!(contention.known_costs().len() <= 32, "{}", contention.known_costs().len());
 }
 
 /// What a core of a filler takes from a service, by their names.
-fn cost(harm: &mut ContentionModel, serving: &str, filler: &str) -> f64 {
-    let (serving, filler) = (harm.image(serving), harm.image(filler));
-    harm.cost_percent(serving, filler)
+fn cost(contention: &mut ContentionModel, serving: &str, filler: &str) -> f64 {
+    let (serving, filler) = (contention.image(serving), contention.image(filler));
+    contention.cost_percent(serving, filler)
 }
 
 /// Keys of a service and a filler among some services, numbered as [`readings`] does.
@@ -364,42 +375,42 @@
 
 #[test]
 fn what_one_service_showed_of_two_fillers_warns_another_of_the_second() {
-    let mut harm = ContentionModel::default();
+    let mut contention = ContentionModel::default();
     // Fillers a and b are dear to the web service. The mail service has met only a so far.
-    let (web, mail) = (harm.image("web"), harm.image("mail"));
-    let (a, b) = (harm.image("a"), harm.image("b"));
+    let (web, mail) = (contention.image("web"), contention.image("mail"));
+    let (a, b) = (contention.image("a"), contention.image("b"));
     let beside = |image, cores| vec![FillerLoad { image, cores }];
     for step in 1..40 {
         let now_ms = step * 500;
         let read = |workflow, image, headroom_percent| {
             vec![ServingTask { run: run(workflow, 0), image, headroom_percent }]
         };
-        harm.observe(&read(1, web, 300.0), &[], now_ms);
+        contention.observe(&read(1, web, 300.0), &[], now_ms);
         let sibling = |workflow, image, headroom_percent| {
             vec![ServingTask { run: run(workflow, 1), image, headroom_percent }]
         };
         let filler = if step % 2 == 0 { a } else { b };
-        harm.observe(&sibling(1, web, 220.0), &beside(filler, 8.0), now_ms);
-        harm.observe(&read(2, mail, 250.0), &[], now_ms);
-        harm.observe(&sibling(2, mail, 170.0), &beside(a, 8.0), now_ms);
+        contention.observe(&sibling(1, web, 220.0), &beside(filler, 8.0), now_ms);
+        contention.observe(&read(2, mail, 250.0), &[], now_ms);
+        contention.observe(&sibling(2, mail, 170.0), &beside(a, 8.0), now_ms);
     }
-    let warned = cost(&mut harm, "mail", "b");
+    let warned = cost(&mut contention, "mail", "b");
     assert!((6.0..12.0).contains(&warned), "{warned}; the truth is 10");
 }
 
 #[test]
 fn a_queue_that_is_worked_off_is_not_blamed_on_what_runs_then() {
-    let mut harm = ContentionModel::default();
-    let image = harm.image("web");
+    let mut contention = ContentionModel::default();
+    let image = contention.image("web");
     let serving = |headroom_percent: f64| ServingTask { run: run(1, 0), image, headroom_percent };
-    let group = StepRef::of(run(1, 0).task);
-    harm.observe(&[serving(250.0)], &[], 1_000);
-    let batch = harm.image("batch");
-    harm.observe(&[serving(20.0)], &[FillerLoad { image: batch, cores: 8.0 }], 1_250);
-    let before = harm.rest_percent(image, group);
+    let group = StepRef::of_task(run(1, 0).task);
+    contention.observe(&[serving(250.0)], &[], 1_000);
+    let batch = contention.image("batch");
+    contention.observe(&[serving(20.0)], &[FillerLoad { image: batch, cores: 8.0 }], 1_250);
+    let before = contention.idle_headroom_percent(image, group);
     // The fillers are gone, and the tail falls only slowly.
-    harm.observe(&[serving(110.0)], &[], 1_500);
-    assert_eq!(harm.rest_percent(image, group), before);
+    contention.observe(&[serving(110.0)], &[], 1_500);
+    assert_eq!(contention.idle_headroom_percent(image, group), before);
 }
 
 #[yare::parameterized(
@@ -411,7 +422,7 @@
     let it = MigrationCandidate {
         estimate_ms: 3_000,
         progress_percent: 50,
-        checkpoints: true,
+        keeps_progress: true,
         current_speed_share,
     };
     assert_eq!(is_worth_moving(it, share_there), expected);
@@ -425,7 +436,7 @@
         let it = MigrationCandidate {
             estimate_ms: 6_000,
             progress_percent,
-            checkpoints,
+            keeps_progress: checkpoints,
             current_speed_share,
         };
         is_worth_moving(it, 1.0)
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -25,7 +25,7 @@
 struct Sink(Sender<LinkEvent>);
 
 impl LinkSink for Sink {
-    fn accept(&self, event: LinkEvent) {
+    fn on_event(&self, event: LinkEvent) {
         let _ = self.0.send(event);
     }
 }
@@ -72,7 +72,10 @@
     let (stranger, own) = (start(version, group), start(PROTOCOL_VERSION, 1));
     stranger.link.send(own.address, message(1));
     let event = stranger.events.recv_timeout(NEVER).unwrap();
-    assert!(matches!(event, LinkEvent::Lost { peer } if peer == own.address), "{event:?}");
+    assert!(
+        matches!(event, LinkEvent::ConnectionLost { peer } if peer == own.address),
+        "{event:?}"
+    );
     assert_eq!(own.metrics.refusal_count(ErrorKind::VersionUnsupported), 1);
     assert!(own.events.try_recv().is_err(), "nothing of it is taken in");
 }
@@ -83,7 +86,7 @@
     let nobody = free_addresses(1).unwrap()[0];
     a.link.send(nobody, message(1));
     assert!(
-        matches!(a.events.recv_timeout(NEVER).unwrap(), LinkEvent::Lost { peer } if peer == nobody)
+        matches!(a.events.recv_timeout(NEVER).unwrap(), LinkEvent::ConnectionLost { peer } if peer == nobody)
     );
 }
 
--- a/tests/log_gathering.rs
+++ b/tests/log_gathering.rs
@@ -96,7 +96,7 @@
                 if 0 < to
                     && let Some((number, _)) = self.members[to].take_writes(now)
                 {
-                    self.members[to].persisted(now, number);
+                    self.members[to].on_persisted(now, number);
                 }
             }
         }
@@ -109,7 +109,7 @@
         for it in std::mem::take(&mut self.held) {
             self.members[2].step(now, it);
             if let Some((number, _)) = self.members[2].take_writes(now) {
-                self.members[2].persisted(now, number);
+                self.members[2].on_persisted(now, number);
             }
         }
         self.turn();
@@ -119,7 +119,7 @@
     fn sync(&mut self) {
         let now = self.now();
         for it in std::mem::take(&mut self.syncing) {
-            self.members[0].persisted(now, it);
+            self.members[0].on_persisted(now, it);
         }
         self.turn();
     }
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use aspenrail::{
-    control::state::{NO_RESOURCES, TaskTransition, add, fits, subtract, transition},
+    control::state::{NO_RESOURCES, TaskTransition, add, fits, next_state, subtract},
     policy::{
         admission::{FairQueue, Rejection, WaitingRequest},
         feedback::{FeedbackAction, FeedbackLoop, TailLatencyReport},
@@ -41,7 +41,7 @@
         if vm.0.is_multiple_of(7) { f64::INFINITY } else { f64::from(vm.0 % 3) }
     }
 
-    fn neighbours(&self, room: &FreeVmCapacity) -> (u32, u32) {
+    fn same_job_counts(&self, room: &FreeVmCapacity) -> (u32, u32) {
         (room.zone.len() as u32 % 2, 0)
     }
 }
@@ -115,21 +115,21 @@
         free in 0_u32..4_000, need in 1_u32..8_000,
         held in proptest::collection::vec((1_u32..4_000, 0_u64..10_000, any::<bool>()), 0..8),
     ) {
-        let victims: Vec<_> = held.iter().enumerate().map(|(at, (cpu, lost_ms, borrows))| Victim {
-            task: TaskId(at as u64), holds: resources(*cpu, 0), lost_ms: *lost_ms, borrows: *borrows,
+        let victims: Vec<_> = held.iter().enumerate().map(|(at, (cpu, lost_ms, exceeds_quota))| Victim {
+            task: TaskId(at as u64), resources: resources(*cpu, 0), lost_run_ms: *lost_ms, exceeds_quota: *exceeds_quota,
         }).collect();
         let (need, free) = (resources(need, 0), resources(free, 0));
-        let all = victims.iter().map(|it| it.holds).fold(free, add);
+        let all = victims.iter().map(|it| it.resources).fold(free, add);
         match choose_victims(need, free, &victims) {
             None => prop_assert!(!fits(need, all)),
             Some((chosen, lost_ms)) => {
                 let of = |without: Option<TaskId>| {
                     let kept = victims.iter().filter(|it| chosen.contains(&it.task) && Some(it.task) != without);
-                    kept.map(|it| it.holds).fold(free, add)
+                    kept.map(|it| it.resources).fold(free, add)
                 };
                 prop_assert!(fits(need, of(None)));
                 prop_assert!(chosen.iter().all(|it| !fits(need, of(Some(*it)))), "{:?}", chosen);
-                let sum: u64 = victims.iter().filter(|it| chosen.contains(&it.task)).map(|it| it.lost_ms).sum();
+                let sum: u64 = victims.iter().filter(|it| chosen.contains(&it.task)).map(|it| it.lost_run_ms).sum();
                 prop_assert_eq!(lost_ms, sum);
             }
         }
@@ -183,29 +183,29 @@
         DeadLetter,
     ];
     for state in states {
-        for step in aspenrail::control::state::STEPS {
+        for transition in aspenrail::control::state::TASK_TRANSITIONS {
             for has_checkpoint in [false, true] {
-                let Some(next) = transition(state, *step, has_checkpoint) else { continue };
-                assert!(!state.is_final(), "{state} is final, and took {step:?}");
+                let Some(next) = next_state(state, *transition, has_checkpoint) else { continue };
+                assert!(!state.is_final(), "{state} is final, and took {transition:?}");
                 assert!(
-                    *step == TaskTransition::Start
+                    *transition == TaskTransition::Start
                         || !(state.is_waiting() && next.holds_resources()),
-                    "{state} {step:?}"
+                    "{state} {transition:?}"
                 );
                 assert!(
-                    *step != TaskTransition::Completed || next == Completed,
+                    *transition != TaskTransition::Completed || next == Completed,
                     "a completion is never lost"
                 );
                 assert!(state != Stopping || next.is_final(), "what is cancelled never runs again");
                 assert!(
                     !next.is_waiting() || (next == Evicted) == has_checkpoint,
-                    "{state} {step:?} {next}"
+                    "{state} {transition:?} {next}"
                 );
             }
         }
-        let can_end = aspenrail::control::state::STEPS
+        let can_end = aspenrail::control::state::TASK_TRANSITIONS
             .iter()
-            .any(|it| transition(state, *it, false).is_some());
+            .any(|it| next_state(state, *it, false).is_some());
         assert!(state.is_final() || can_end, "{state} is a dead end");
     }
 }
@@ -218,7 +218,7 @@
     }
     assert_eq!(
         queue.push("noisy", WaitingRequest { key: 9, deadline_ms: 0 }, 4),
-        Err(Rejection::TeamShare)
+        Err(Rejection::TeamShareExceeded)
     );
     let displaced = queue.push("quiet", WaitingRequest { key: 5, deadline_ms: 0 }, 4).unwrap();
     assert_eq!(displaced.map(|it| it.key), Some(3), "the newest of the noisy team");
@@ -253,19 +253,28 @@
 
 #[test]
 fn harm_is_credited_to_what_ran_then() {
-    let (mut past, mut pairs) = (WorkloadHistory::default(), InterferenceModel::default());
+    let (mut past, mut interference_model) =
+        (WorkloadHistory::default(), InterferenceModel::default());
     let noisy = vec![(CompactString::from("noisy"), 0.5)];
     let calm = vec![(CompactString::from("calm"), 0.5)];
     // The reports lag by 2 s; by then the neighbour has changed.
     for round in 0..40_u64 {
         let begun_ms = round * 4_000;
-        past.note(VmId(1), begun_ms, noisy.clone());
-        past.note(VmId(1), begun_ms + 2_000, calm.clone());
-        pairs.observe("quick", 30.0, past.at(VmId(1), begun_ms + 1_000));
-        pairs.observe("quick", 10.0, past.at(VmId(1), begun_ms + 3_000));
+        past.record(VmId(1), begun_ms, noisy.clone());
+        past.record(VmId(1), begun_ms + 2_000, calm.clone());
+        interference_model.observe("quick", 30.0, past.kinds_at(VmId(1), begun_ms + 1_000));
+        interference_model.observe("quick", 10.0, past.kinds_at(VmId(1), begun_ms + 3_000));
     }
-    assert!(pairs.harm("quick", "noisy") > 1.5, "{}", pairs.harm("quick", "noisy"));
-    assert!(pairs.harm("quick", "calm") < 0.5, "{}", pairs.harm("quick", "calm"));
+    assert!(
+        interference_model.added_slowdown("quick", "noisy") > 1.5,
+        "{}",
+        interference_model.added_slowdown("quick", "noisy")
+    );
+    assert!(
+        interference_model.added_slowdown("quick", "calm") < 0.5,
+        "{}",
+        interference_model.added_slowdown("quick", "calm")
+    );
 }
 
 /// Noisy tasks come for twenty reports and go for twenty: they are throttled once they are seen,
@@ -284,11 +293,11 @@
         };
         let unthrottled_tail_ms = if is_noisy && throttled { 90 } else { tail_ms };
         let report =
-            TailLatencyReport { tail_ms, unthrottled_tail_ms, target_ms: 50, lag_ms: 1_000 };
-        let was_closed = feedback.is_closed();
+            TailLatencyReport { tail_ms, unthrottled_tail_ms, target_ms: 50, report_age_ms: 1_000 };
+        let was_closed = feedback.is_closed_to_batch();
         let action = feedback.observe(second * 1_000, report, Some(TaskId(1)));
         throttles += u32::from(matches!(action, FeedbackAction::Throttle { .. }));
-        opened += u32::from(was_closed && !feedback.is_closed());
+        opened += u32::from(was_closed && !feedback.is_closed_to_batch());
         assert!(!matches!(action, FeedbackAction::Move { .. }), "a throttle is enough here");
     }
     assert_eq!((throttles, opened), (5, 5), "one step each way for each of five waves");
@@ -307,7 +316,7 @@
                 tail_ms,
                 unthrottled_tail_ms: tail_ms + 10,
                 target_ms: 50,
-                lag_ms: 5_000,
+                report_age_ms: 5_000,
             };
             feedback.observe(second * 1_000, report, Some(task))
         };
@@ -321,7 +330,7 @@
         "one step, and the gap between low and target holds it: {actions:?}"
     );
     assert!(matches!(actions[0].1, FeedbackAction::Throttle { .. }));
-    assert!(feedback.is_closed());
+    assert!(feedback.is_closed_to_batch());
 }
 
 fn try_take(
@@ -332,7 +341,7 @@
 ) -> bool {
     let allowed = budget.allows(per_hour, now_ms, purpose, 1);
     if allowed {
-        budget.take(1);
+        budget.spend(1);
     }
     allowed
 }
@@ -359,7 +368,8 @@
 #[test]
 fn relief_leaves_evictions_to_urgent_starts() {
     let mut budget = EvictionBudget::new(80, 0);
-    let relief = (0..100).filter(|_| try_take(&mut budget, 80, 0, EvictionPurpose::Relief)).count();
+    let relief =
+        (0..100).filter(|_| try_take(&mut budget, 80, 0, EvictionPurpose::LatencyRelief)).count();
     let urgent =
         (0..100).filter(|_| try_take(&mut budget, 80, 0, EvictionPurpose::UrgentStart)).count();
     assert_eq!((relief, urgent), (10, 10));
@@ -400,8 +410,8 @@
     own_zone_first = { EndpointView { same_zone: true, ..VIEW }, VIEW },
     other_zone_if_much_faster = { EndpointView { answer_ms: 5.0, ..VIEW }, EndpointView { same_zone: true, answer_ms: 30.0, ..VIEW } },
     least_in_flight = { VIEW, EndpointView { own_in_flight: 4, ..VIEW } },
-    fresh_report_counts = { VIEW, EndpointView { reported: 16, ..VIEW } },
-    old_report_fades = { EndpointView { reported: 16, report_age_ms: 5_000, ..VIEW }, EndpointView { own_in_flight: 4, ..VIEW } },
+    fresh_report_counts = { VIEW, EndpointView { reported_in_flight: 16, ..VIEW } },
+    old_report_fades = { EndpointView { reported_in_flight: 16, report_age_ms: 5_000, ..VIEW }, EndpointView { own_in_flight: 4, ..VIEW } },
 )]
 fn better_endpoint_is_chosen(better: EndpointView, worse: EndpointView) {
     assert_eq!(routing::best_of(&[worse, better]), Some(1));
@@ -411,7 +421,7 @@
 const VIEW: EndpointView = EndpointView {
     slots: 8,
     own_in_flight: 0,
-    reported: 0,
+    reported_in_flight: 0,
     report_age_ms: 0,
     answer_ms: 10.0,
     same_zone: false,
@@ -445,9 +455,9 @@
         };
         queue.insert("borrower", waiting);
     }
-    let borrowed: Vec<_> = queue.candidates(9).iter().map(|it| it.borrows).collect();
+    let borrowed: Vec<_> = queue.candidates(9).iter().map(|it| it.exceeds_quota).collect();
     assert_eq!(borrowed, [false, false, true, true]);
-    (0..4).for_each(|_| queue.record_run_change("borrower", resources(500, 1), RunChange::Starts));
+    (0..4).for_each(|_| queue.record_run_change("borrower", resources(500, 1), RunChange::Started));
     let waiting = task_queue::WaitingTask {
         task: TaskId(9),
         tier: Tier::Batch,
--- a/tests/promises/checkers.rs
+++ b/tests/promises/checkers.rs
@@ -5,7 +5,7 @@
 use aspenrail::{
     control::state::State,
     entry::CallerAnswer,
-    error::{ExecutionStatus, answer_of},
+    error::{ExecutionStatus, answer_for_error},
     prelude::*,
 };
 
@@ -64,7 +64,7 @@
     let mut res = Vec::new();
     for (token, quick) in &it.quicks {
         let Some((told_ms, CallerAnswer::Refused(refusal))) = &quick.answer else { continue };
-        if answer_of(refusal.kind).ran != ExecutionStatus::No {
+        if answer_for_error(refusal.kind).execution != ExecutionStatus::NotExecuted {
             continue;
         }
         let is_open = |(other, it): (&u64, &QuickRecord)| {
--- a/tests/promises/disk.rs
+++ b/tests/promises/disk.rs
@@ -41,7 +41,7 @@
 fn replay(disk: &mut RecoveredState, write: DiskWrite) {
     let first = disk.snapshot.as_ref().map_or(0, |it| it.index) + 1;
     match write {
-        DiskWrite::HardState(it) => disk.hard = it,
+        DiskWrite::HardState(it) => disk.hard_state = it,
         DiskWrite::Append(entries) => {
             for it in entries {
                 assert_eq!(
--- a/tests/promises/named_faults.rs
+++ b/tests/promises/named_faults.rs
@@ -3,7 +3,7 @@
 use aspenrail::{
     control::Input,
     entry::{CallerAnswer, CallerRequest},
-    error::{ExecutionStatus, answer_of},
+    error::{ExecutionStatus, answer_for_error},
     prelude::*,
 };
 
@@ -355,7 +355,7 @@
         for it in told {
             let Some((_, CallerAnswer::Refused(it))) = it else { continue };
             assert!(
-                !ran || answer_of(it.kind).ran != ExecutionStatus::No
+                !ran || answer_for_error(it.kind).execution != ExecutionStatus::NotExecuted
                     || it.kind == ErrorKind::NoEndpoint,
                 "{it:?}"
             );
@@ -385,7 +385,8 @@
     assert!(!refused.is_empty(), "a wave of 400 is more than 8 slots answer in 60 ms");
     for it in &refused {
         assert!(
-            answer_of(it.kind).ran == ExecutionStatus::Unknown || 0 < it.retry_after_ms,
+            answer_for_error(it.kind).execution == ExecutionStatus::Unknown
+                || 0 < it.retry_after_ms,
             "told when to come back: {it:?}"
         );
     }
--- a/tests/promises/world/mod.rs
+++ b/tests/promises/world/mod.rs
@@ -206,14 +206,14 @@
         match &mut self.nodes[node].role {
             RoleCore::Control { core, disk, member } => {
                 let options = ControlOptions {
-                    place: GROUP_ID,
+                    group_id: GROUP_ID,
                     member: *member,
                     address: own,
-                    controls,
+                    control_addresses: controls,
                     settings: control_settings(),
                     boot,
                     dispatch: None,
-                    voters: 0,
+                    target_voter_count: 0,
                 };
                 let recovered = disk.crash(0);
                 *core = Some(Box::new(ControlCore::new(options, recovered, now).unwrap()));
@@ -223,7 +223,7 @@
                     name: format_compact!("entry-{node}"),
                     zone: format_compact!("zone-{}", node % 3),
                     address: own,
-                    controls,
+                    control_addresses: controls,
                     settings: entry_settings(),
                     boot,
                 };
@@ -232,7 +232,7 @@
             RoleCore::Agent { core, vm } => {
                 let options = AgentOptions {
                     address: own,
-                    controls,
+                    control_addresses: controls,
                     zone: format_compact!("zone-{}", *vm % 3),
                     rack: format_compact!("rack-{}", *vm / 2),
                     settings: agent_settings(*vm),
--- a/tests/soak/workers.rs
+++ b/tests/soak/workers.rs
@@ -173,7 +173,7 @@
     /// Carries out a call; returns no answer where it is carried out late, or nobody is there.
     fn answer(&self, vm: usize, it: &HttpRequest) -> Option<HttpAnswer> {
         let call = parse_call(it)?;
-        let is_order = !matches!(call.action, Action::Hold { .. });
+        let is_order = !matches!(call.action, Action::Poll { .. });
         let (late_ms, lifetime) = {
             let mut state = self.state();
             if !state.workers[vm].up {
@@ -215,7 +215,7 @@
         || Some(RunRef { task: parse_task(body["task"].as_str()?)?, run: number("run") as u32 });
     let text = |name: &str| CompactString::from(body[name].as_str().unwrap_or_default());
     let action = match it.path.as_str() {
-        "/-/hold" => Action::Hold {
+        "/-/hold" => Action::Poll {
             lease_until_ms: body["deadline_ms"].as_u64(),
             acked_cursor: number("ack_cursor"),
             wait_ms: 0,
@@ -227,7 +227,7 @@
             lease_until_ms: number("deadline_ms"),
         },
         "/-/run-stop" => Action::Stop { run: run()? },
-        _ => Action::Pace { run: run()?, percent: number("percent") as u32 },
+        _ => Action::Throttle { run: run()?, speed_percent: number("percent") as u32 },
     };
     let worker = it.header("X-Aspenrail-Expect-Instance")?.into();
     Some(WorkerCall { worker, token: number("fencing_token"), action })
@@ -247,7 +247,7 @@
 fn answer_of(result: &CallResult) -> HttpAnswer {
     let refused = |clock_ms, reason| json!({"clock_ms": clock_ms, "reason": reason});
     match result {
-        CallResult::Held { clock_ms, started_unix_ms, running, ended } => {
+        CallResult::RunList { clock_ms, started_unix_ms, running, ended } => {
             let running: Vec<_> = running
                 .iter()
                 .map(|it| json!([name_of(it.run.task), it.run.run, "", it.progress_percent, 0]))
--- a/tests/suspicion.rs
+++ b/tests/suspicion.rs
@@ -9,8 +9,8 @@
 /// Eleven workers that hardly crash.
 const QUIET: BaselineCrashRate = BaselineCrashRate { crashes: 0, workers: 11 };
 
-fn after(ages_ms: &[u64], background: BaselineCrashRate) -> CrashEvidence {
-    ages_ms.iter().fold(CrashEvidence::default(), |it, age_ms| it.after_crash(*age_ms, background))
+fn after(ages_ms: &[u64], baseline: BaselineCrashRate) -> CrashEvidence {
+    ages_ms.iter().fold(CrashEvidence::default(), |it, age_ms| it.after_crash(*age_ms, baseline))
 }
 
 #[yare::parameterized(
@@ -22,11 +22,11 @@
     apart_beside_many = { STORMY, &[2_900, 1_200, 3_600], false },
 )]
 fn a_task_is_held_guilty_by_the_ages_of_its_crashes(
-    background: BaselineCrashRate,
+    baseline: BaselineCrashRate,
     ages_ms: &[u64],
     expected: bool,
 ) {
-    assert_eq!(after(ages_ms, background).is_culprit(), expected);
+    assert_eq!(after(ages_ms, baseline).is_culprit(), expected);
 }
 
 /// What most likely lost its workers to something else has one chance left, in a calm.
--- a/tests/workflows/colocation.rs
+++ b/tests/workflows/colocation.rs
@@ -92,7 +92,7 @@
     }
 
     fn share(&self, run: RunRef) -> f64 {
-        f64::from(self.throttler.percent(run)) / 100.0
+        f64::from(self.throttler.speed_percent(run)) / 100.0
     }
 
     fn tail_ms(
@@ -129,7 +129,10 @@
                 run: it.0,
                 full_speed_cores: f64::from(it.1.need.cpu_millicores) / 1_000.0,
                 used_cores: self.cores(it),
-                costs_percent: services.iter().map(|(_, s)| told(&s.image, &it.1.image)).collect(),
+                core_costs_percent: services
+                    .iter()
+                    .map(|(_, s)| told(&s.image, &it.1.image))
+                    .collect(),
             })
             .collect();
         self.throttler.observe(&serving_readings, &filler_readings, now_ms);
--- a/tests/workflows/evacuations.rs
+++ b/tests/workflows/evacuations.rs
@@ -33,7 +33,7 @@
     for _ in 0..12 {
         let token = world.request(request(zone, evacuated));
         world.run_for(500);
-        if world.answers.get(&token) == Some(&GatewayAnswer::Told(WorkflowOutcome::Accepted)) {
+        if world.answers.get(&token) == Some(&GatewayAnswer::Outcome(WorkflowOutcome::Accepted)) {
             return true;
         }
     }
@@ -44,7 +44,7 @@
     for _ in 0..20 {
         let token = world.request(WorkflowRequest::ReadEvacuations);
         world.run_for(500);
-        if let Some(GatewayAnswer::Told(WorkflowOutcome::Evacuations(it))) =
+        if let Some(GatewayAnswer::Outcome(WorkflowOutcome::Evacuations(it))) =
             world.answers.get(&token)
         {
             return it.zones.iter().map(|it| it.zone.clone()).collect();
@@ -104,7 +104,7 @@
     }
     world.run_for(25_000);
     for (id, token) in accepted {
-        if world.answers.get(&token) == Some(&GatewayAnswer::Told(WorkflowOutcome::Accepted))
+        if world.answers.get(&token) == Some(&GatewayAnswer::Outcome(WorkflowOutcome::Accepted))
             && world.phase(id) != Some(WorkflowPhase::Completed)
         {
             world.rules.broken.push(format!("workflow {id} was accepted and is not done"));
@@ -231,5 +231,8 @@
     let token = world.request(request(name, true));
     world.run_for(500);
     let answer = world.answers.get(&token);
-    assert!(matches!(answer, Some(GatewayAnswer::Told(WorkflowOutcome::Invalid(_)))), "{answer:?}");
+    assert!(
+        matches!(answer, Some(GatewayAnswer::Outcome(WorkflowOutcome::Invalid(_)))),
+        "{answer:?}"
+    );
 }
--- a/tests/workflows/faults.rs
+++ b/tests/workflows/faults.rs
@@ -39,7 +39,7 @@
     world.late_percent = 0;
     world.run_for(40_000);
     for (id, token) in tokens {
-        if world.answers.get(&token) == Some(&GatewayAnswer::Told(WorkflowOutcome::Accepted)) {
+        if world.answers.get(&token) == Some(&GatewayAnswer::Outcome(WorkflowOutcome::Accepted)) {
             accepted.push(id);
         }
     }
@@ -141,7 +141,7 @@
     world.install_queue();
     let token = world.submit(7, spec(vec![step(4, 1, &[]), step(2, 1, &[0])]), QUICK);
     world.run_for(3_000);
-    assert_eq!(world.answers.get(&token), Some(&GatewayAnswer::Told(WorkflowOutcome::Accepted)));
+    assert_eq!(world.answers.get(&token), Some(&GatewayAnswer::Outcome(WorkflowOutcome::Accepted)));
     assert_eq!(world.phase(7), Some(WorkflowPhase::Completed));
     assert_eq!(world.rules.starts, 6);
     assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
@@ -262,7 +262,7 @@
     assert_eq!(world.phase(7), Some(WorkflowPhase::Completed));
     let token = world.submit(8, spec(vec![step(1, 1, &[])]), QUICK);
     world.run_for(2_000);
-    assert_eq!(world.answers.get(&token), Some(&GatewayAnswer::Told(WorkflowOutcome::Accepted)));
+    assert_eq!(world.answers.get(&token), Some(&GatewayAnswer::Outcome(WorkflowOutcome::Accepted)));
 }
 
 #[test]
@@ -346,7 +346,7 @@
         world.run_for(2_000);
         assert_eq!(
             world.answers.get(&token),
-            Some(&GatewayAnswer::Told(WorkflowOutcome::Accepted))
+            Some(&GatewayAnswer::Outcome(WorkflowOutcome::Accepted))
         );
     }
     world.take_writes(first);
--- a/tests/workflows/fillers.rs
+++ b/tests/workflows/fillers.rs
@@ -247,10 +247,10 @@
     leader.pass(6_000, &[(other, &[(1, 17)]), (beside, &[(1, 40), (2, 8_000)])]);
     leader.dispatcher.tick(&leader.workflows, leader.now());
     leader.settle();
-    let known = leader.workflows.costs().to_vec();
+    let known = leader.workflows.image_costs().to_vec();
     let cost = known.iter().find(|it| it.serving == "web" && it.filler == "heavy").unwrap();
     assert!((14.0..28.0).contains(&cost.headroom_percent), "{cost:?}; the truth is 21");
-    let mut next = ContentionModel::with_known_costs(leader.workflows.costs(), 7_000);
+    let mut next = ContentionModel::with_known_costs(leader.workflows.image_costs(), 7_000);
     let (web, heavy) = (next.image("web"), next.image("heavy"));
     assert_eq!(next.cost_percent(web, heavy), f64::from(cost.headroom_percent));
 }
--- a/tests/workflows/gateway.rs
+++ b/tests/workflows/gateway.rs
@@ -18,7 +18,7 @@
     world.run_for(3_000);
     let token = world.submit(7, spec(vec![step(1, 1, &[])]), QUICK);
     world.run_for(500);
-    let expected = GatewayAnswer::NotTaken { cause: RejectionCause::NoConfig, retry_after_ms: 300 };
+    let expected = GatewayAnswer::Rejected { cause: RejectionCause::NoConfig, retry_after_ms: 300 };
     assert_eq!(world.answers.get(&token), Some(&expected));
 }
 
@@ -33,7 +33,7 @@
     world.run_for(950);
     let answer = world.answers.get(&token);
     assert!(
-        matches!(answer, Some(GatewayAnswer::NotTaken { cause: RejectionCause::NoLeader, .. })),
+        matches!(answer, Some(GatewayAnswer::Rejected { cause: RejectionCause::NoLeader, .. })),
         "{answer:?}"
     );
     world.run_for(10_000);
@@ -59,7 +59,7 @@
     for _ in 0..3 {
         let token = world.submit(7, spec(vec![step(3, 1, &[])]), QUICK);
         world.run_for(400);
-        let expected = GatewayAnswer::Told(WorkflowOutcome::Accepted);
+        let expected = GatewayAnswer::Outcome(WorkflowOutcome::Accepted);
         assert_eq!(world.answers.get(&token), Some(&expected));
     }
     assert_eq!(world.rules.starts, 3);
@@ -72,14 +72,14 @@
     for version in [5, 3, 5] {
         let token = world.request(WorkflowRequest::Install(queues(version)));
         world.run_for(300);
-        let expected = GatewayAnswer::Told(WorkflowOutcome::Accepted);
+        let expected = GatewayAnswer::Outcome(WorkflowOutcome::Accepted);
         assert_eq!(world.answers.get(&token), Some(&expected));
     }
     let token = world.request(WorkflowRequest::ReadConfig);
     world.run_for(300);
     assert_eq!(
         world.answers.get(&token),
-        Some(&GatewayAnswer::Told(WorkflowOutcome::Config(queues(5))))
+        Some(&GatewayAnswer::Outcome(WorkflowOutcome::Config(queues(5))))
     );
 }
 
@@ -96,14 +96,14 @@
     let token = world.request(WorkflowRequest::Install(config));
     world.run_for(300);
     match world.answers.get(&token) {
-        Some(GatewayAnswer::Told(WorkflowOutcome::Invalid(why))) => {
+        Some(GatewayAnswer::Outcome(WorkflowOutcome::Invalid(why))) => {
             assert!(why.contains(expected), "{why}")
         }
         other => panic!("{other:?}"),
     }
     let token = world.request(WorkflowRequest::ReadConfig);
     world.run_for(300);
-    let held = GatewayAnswer::Told(WorkflowOutcome::Config(queues(1)));
+    let held = GatewayAnswer::Outcome(WorkflowOutcome::Config(queues(1)));
     assert_eq!(world.answers.get(&token), Some(&held));
 }
 
@@ -119,7 +119,7 @@
     let place = WorkflowTarget { host: host.into(), path: path.into() };
     let token = world.request(WorkflowRequest::Inspect(place));
     world.run_for(300);
-    assert_eq!(world.answers.get(&token), Some(&GatewayAnswer::Told(expected)));
+    assert_eq!(world.answers.get(&token), Some(&GatewayAnswer::Outcome(expected)));
 }
 
 #[test]
--- a/tests/workflows/lifetimes.rs
+++ b/tests/workflows/lifetimes.rs
@@ -16,7 +16,7 @@
 const SECOND_MS: u64 = FIRST_MS - 3_600_000;
 
 fn announced(started_unix_ms: u64, sequence: u64) -> Input {
-    Input::Announced(announcement("worker", "pool", sequence, Some(started_unix_ms)))
+    Input::WorkerAnnounced(announcement("worker", "pool", sequence, Some(started_unix_ms)))
 }
 
 fn name(started_unix_ms: u64) -> Option<CompactString> {
@@ -24,7 +24,7 @@
 }
 
 fn listed(started_unix_ms: Option<u64>, running: Vec<RunningTask>) -> CallResult {
-    CallResult::Held { clock_ms: 90, started_unix_ms, running, ended: Vec::new() }
+    CallResult::RunList { clock_ms: 90, started_unix_ms, running, ended: Vec::new() }
 }
 
 /// Answers the newest look at the worker.
@@ -68,7 +68,7 @@
     alone.pass(600);
     assert_eq!(alone.worker(), name(FIRST_MS));
     // One that does not tell its start is another writer's.
-    alone.input(Input::Announced(announcement("worker", "pool", 90, None)));
+    alone.input(Input::WorkerAnnounced(announcement("worker", "pool", 90, None)));
     answer(&mut alone, listed(Some(FIRST_MS), vec![running()]));
     alone.pass(600);
     assert_eq!(alone.worker(), name(FIRST_MS));
@@ -131,7 +131,7 @@
     let running = Vec::new();
     answer(
         &mut alone,
-        CallResult::Held { clock_ms: 90, started_unix_ms: Some(SECOND_MS), running, ended },
+        CallResult::RunList { clock_ms: 90, started_unix_ms: Some(SECOND_MS), running, ended },
     );
     alone.calls.clear();
     alone.pass(600);
@@ -155,7 +155,7 @@
     let mut alone = beside_first();
     alone.grant(true, vec![start()]);
     let call = match late {
-        CallResult::Held { .. } => alone.take_call(is_hold),
+        CallResult::RunList { .. } => alone.take_call(is_hold),
         _ => alone.take_call(is_start),
     };
     alone.input(announced(SECOND_MS, 1));
@@ -167,7 +167,7 @@
     alone.end(call, late);
     alone.grant(false, Vec::new());
     let lease = alone.calls.iter().rev().find_map(|(_, it)| match it {
-        Action::Hold { lease_until_ms, .. } => Some(lease_until_ms.unwrap_or(0)),
+        Action::Poll { lease_until_ms, .. } => Some(lease_until_ms.unwrap_or(0)),
         _ => None,
     });
     // The second lifetime's clock reads some 50 s, and the lease is 4 s long.
@@ -194,7 +194,7 @@
     answer(&mut alone, failed);
     alone.pass(110);
     let told = |alone: &Alone| match alone.calls.last() {
-        Some((_, Action::Hold { acked_cursor, lease_until_ms, .. })) => {
+        Some((_, Action::Poll { acked_cursor, lease_until_ms, .. })) => {
             (*acked_cursor, lease_until_ms.is_some())
         }
         other => panic!("{other:?}"),
@@ -222,7 +222,7 @@
     alone.end(under_way, before);
     alone.pass(110);
     assert!(!alone.calls.iter().any(|(_, it)| is_start(it)), "{:?}", alone.calls);
-    let Some((id, Action::Hold { lease_until_ms, acked_cursor, .. })) = alone.calls.pop() else {
+    let Some((id, Action::Poll { lease_until_ms, acked_cursor, .. })) = alone.calls.pop() else {
         panic!("it is looked at");
     };
     assert_eq!((lease_until_ms, acked_cursor), (None, 0));
@@ -258,7 +258,7 @@
     }
     assert!(alone.reports.last().unwrap().workers[0].gone);
     alone.calls.clear();
-    alone.input(Input::Announced(announcement("worker", "pool", 1, None)));
+    alone.input(Input::WorkerAnnounced(announcement("worker", "pool", 1, None)));
     answer(&mut alone, listed(None, Vec::new()));
     assert!(!alone.reports.last().unwrap().workers[0].gone);
 }
@@ -286,7 +286,8 @@
 #[test]
 fn a_late_word_of_leaving_ends_no_lifetime_that_has_not_said_that_it_drains() {
     let mut alone = beside_first();
-    let left = |started_unix_ms| Input::Left(Departure { id: "worker".into(), started_unix_ms });
+    let left =
+        |started_unix_ms| Input::WorkerLeft(Departure { id: "worker".into(), started_unix_ms });
     alone.input(left(Some(SECOND_MS)));
     alone.pass(600);
     assert!(!alone.reports.last().unwrap().workers[0].draining);
--- a/tests/workflows/node.rs
+++ b/tests/workflows/node.rs
@@ -50,7 +50,7 @@
     /// Makes a node that has just started beside a worker.
     fn beside(draining: bool) -> Alone {
         let mut res = Alone::without_worker();
-        res.input(Input::Announced(Announcement {
+        res.input(Input::WorkerAnnounced(Announcement {
             id: "worker".into(),
             service: "pool".into(),
             zone: "zone".into(),
@@ -157,7 +157,7 @@
         let id = self.take_call(is_hold);
         self.end(
             id,
-            CallResult::Held {
+            CallResult::RunList {
                 clock_ms: 50_100,
                 started_unix_ms: None,
                 running,
@@ -172,7 +172,7 @@
         let (id, _) = self.calls.remove(newest);
         self.end(
             id,
-            CallResult::Held {
+            CallResult::RunList {
                 clock_ms: 50_300,
                 started_unix_ms: None,
                 running: Vec::new(),
@@ -193,7 +193,7 @@
 }
 
 pub fn is_hold(it: &Action) -> bool {
-    matches!(it, Action::Hold { .. })
+    matches!(it, Action::Poll { .. })
 }
 
 pub fn is_start(it: &Action) -> bool {
@@ -290,7 +290,7 @@
     alone.end(begun, CallResult::Done { clock_ms: 50_200 });
     alone.end(
         hold,
-        CallResult::Held {
+        CallResult::RunList {
             clock_ms: 50_150,
             started_unix_ms: None,
             running: Vec::new(),
@@ -320,7 +320,7 @@
         let id = alone.take_call(is_hold);
         alone.end(
             id,
-            CallResult::Held {
+            CallResult::RunList {
                 clock_ms: 50_200,
                 started_unix_ms: None,
                 running: Vec::new(),
@@ -363,7 +363,7 @@
     let mut alone = Alone::new();
     alone.grant(false, Vec::new());
     let hold = alone.calls.iter().find_map(|(_, it)| match it {
-        Action::Hold { lease_until_ms, .. } => Some(*lease_until_ms),
+        Action::Poll { lease_until_ms, .. } => Some(*lease_until_ms),
         _ => None,
     });
     // The worker's clock read 50 000 when the node's read 1 001; the lease ends 4 s after 1 001.
@@ -399,7 +399,7 @@
 }
 
 fn announced(id: &str, service: &str, sequence: u64) -> Input {
-    Input::Announced(announcement(id, service, sequence, None))
+    Input::WorkerAnnounced(announcement(id, service, sequence, None))
 }
 
 pub fn announcement(
@@ -477,7 +477,7 @@
         running: Vec::new(),
         ended,
         ended_after_unreadable: Vec::new(),
-        unreadable: 1,
+        unreadable_rows: 1,
     };
     alone.pass(300);
     let id = alone.take_call(is_hold);
@@ -511,7 +511,7 @@
                 running: Vec::new(),
                 ended: Vec::new(),
                 ended_after_unreadable: vec![EndedRun { cursor: 5, end }],
-                unreadable: 2,
+                unreadable_rows: 2,
             },
         );
         alone.pass(300);
@@ -542,7 +542,7 @@
             running: Vec::new(),
             ended: vec![EndedRun { cursor: 1, end: end.clone() }],
             ended_after_unreadable: Vec::new(),
-            unreadable: 0,
+            unreadable_rows: 0,
         };
         alone.end(id, part);
     }
@@ -561,7 +561,7 @@
     /// Returns how long the look that is under way may wait.
     fn wait_ms(&self) -> u64 {
         let wait = |it: &(u64, Action)| match it.1 {
-            Action::Hold { wait_ms, .. } => Some(wait_ms),
+            Action::Poll { wait_ms, .. } => Some(wait_ms),
             _ => None,
         };
         self.calls.iter().find_map(wait).unwrap()
@@ -573,7 +573,7 @@
         let clock_ms = self.now_ms + 49_000;
         self.end(
             id,
-            CallResult::Held {
+            CallResult::RunList {
                 clock_ms,
                 started_unix_ms: None,
                 running: Vec::new(),
--- a/tests/workflows/node_restarts.rs
+++ b/tests/workflows/node_restarts.rs
@@ -109,7 +109,7 @@
             }
             if self.now_ms.is_multiple_of(200) {
                 let it = self.worker.announce(self.now_ms);
-                self.tell(Input::Announced(it));
+                self.tell(Input::WorkerAnnounced(it));
             }
             self.worker.tick(self.now_ms, &self.nature, &mut self.rules);
             while let Some(entry) = self.events.first_entry()
--- a/tests/workflows/worker.rs
+++ b/tests/workflows/worker.rs
@@ -266,7 +266,7 @@
         }
         self.token = call.token;
         match &call.action {
-            Action::Hold { lease_until_ms, acked_cursor, .. } => {
+            Action::Poll { lease_until_ms, acked_cursor, .. } => {
                 self.lease_until_ms = self.lease_until_ms.max(lease_until_ms.unwrap_or(0));
                 self.acked = self.acked.max(*acked_cursor);
                 let (acked, lapsed) = (self.acked, self.lapsed_ends);
@@ -281,7 +281,7 @@
                     progress_percent: if stalls { 0 } else { it.progress_percent(now_ms) },
                     load: 0,
                 });
-                CallResult::Held {
+                CallResult::RunList {
                     clock_ms,
                     started_unix_ms: Some(self.started_unix_ms),
                     running: running.collect(),
@@ -299,7 +299,7 @@
                 *highest = (*highest).max(run.run);
                 CallResult::Done { clock_ms }
             }
-            Action::Pace { .. } => CallResult::Done { clock_ms },
+            Action::Throttle { .. } => CallResult::Done { clock_ms },
         }
     }
 
--- a/tests/workflows/world.rs
+++ b/tests/workflows/world.rs
@@ -213,14 +213,14 @@
 
     fn start_member(&mut self, at: usize) {
         let options = ControlOptions {
-            place: GROUP_ID,
+            group_id: GROUP_ID,
             member: self.members[at].id,
             address: address(at),
-            controls: self.controls(),
+            control_addresses: self.controls(),
             settings: control_settings(),
             boot: self.random.u64(..),
             dispatch: Some(DispatchOptions { lease_ms: self.lease_ms, ..dispatch_options() }),
-            voters: 3,
+            target_voter_count: 3,
         };
         let now = self.now();
         let member = &mut self.members[at];
@@ -401,7 +401,7 @@
                 if self.nodes[vm].worker.up {
                     let now_ms = self.now_ms;
                     let it = self.nodes[vm].worker.announce(now_ms);
-                    self.tell_node(vm, node::Input::Announced(it));
+                    self.tell_node(vm, node::Input::WorkerAnnounced(it));
                 }
             }
             Event::Restart { process } if process < 100 => self.start_member(process),
@@ -412,7 +412,7 @@
                 let back_ms = if self.lives.u32(0..4) == 0 { HOUR_MS } else { 0 };
                 self.nodes[vm].worker.revive(now.mono_ms, now.wall_ms - back_ms);
             }
-            Event::LastWord { vm, it } => self.tell_node(vm, node::Input::Announced(*it)),
+            Event::LastWord { vm, it } => self.tell_node(vm, node::Input::WorkerAnnounced(*it)),
             Event::Synced { .. } | Event::Result { .. } => (),
         }
     }
@@ -492,7 +492,7 @@
                 node::Effect::Send { to, message } => self.send(address(200 + vm), to, message),
                 node::Effect::AnnouncementIgnored(_) => (),
                 node::Effect::Call { id, call } => {
-                    let is_order = !matches!(call.action, node::Action::Hold { .. });
+                    let is_order = !matches!(call.action, node::Action::Poll { .. });
                     if is_order && self.loses_orders {
                         let result = CallResult::NoAnswer;
                         self.push(500, Event::Result { vm, boot, id, result });
@@ -528,7 +528,8 @@
         for _ in 0..20 {
             let token = self.request(WorkflowRequest::Install(queues(1)));
             self.run_for(1_500);
-            if self.answers.get(&token) == Some(&GatewayAnswer::Told(WorkflowOutcome::Accepted)) {
+            if self.answers.get(&token) == Some(&GatewayAnswer::Outcome(WorkflowOutcome::Accepted))
+            {
                 return;
             }
         }
@@ -541,11 +542,11 @@
             let token = self.request(WorkflowRequest::Inspect(target(id)));
             self.run_for(1_000);
             match self.answers.remove(&token) {
-                Some(GatewayAnswer::Told(WorkflowOutcome::Phase(it))) => {
+                Some(GatewayAnswer::Outcome(WorkflowOutcome::Phase(it))) => {
                     self.rules.told(id, it);
                     return Some(it);
                 }
-                Some(GatewayAnswer::Told(WorkflowOutcome::Gone)) => return None,
+                Some(GatewayAnswer::Outcome(WorkflowOutcome::Gone)) => return None,
                 _ => (),
             }
         }
