--- a/src/control/dispatch/mod.rs
+++ b/src/control/dispatch/mod.rs
@@ -307,25 +307,25 @@
         let mut fillers = Vec::new();
         session.slow_fillers.clear();
         for task in &report.running {
-            let watch = session.monitored_runs.entry(task.run).or_insert_with(|| {
+            let monitor = session.monitored_runs.entry(task.run).or_insert_with(|| {
                 RunMonitor::new(workflows, &mut self.contention, task, now.mono_ms)
             });
-            watch.last_report_number = session.report_number;
-            if watch.observe(task, now.mono_ms) && !watch.evicted {
-                watch.evicted = true;
+            monitor.last_report_number = session.report_number;
+            if monitor.observe(task, now.mono_ms) && !monitor.evicted {
+                monitor.evicted = true;
                 session.health.note_stalled(now.mono_ms);
                 tracing::warn!(event = "run_stalled", run = %run_name(task.run), worker = %report.name, progress_percent = task.progress_percent);
             }
-            if let Some(share) = watch.speed_share_if_slow(now.mono_ms) {
+            if let Some(speed_share) = monitor.speed_share_if_slow(now.mono_ms) {
                 let progress_percent = task.progress_percent;
                 session.slow_fillers.push(SlowRun {
                     run: task.run,
                     worker: id,
-                    speed_share: share,
+                    speed_share,
                     progress_percent,
                 });
             }
-            match watch.run_kind {
+            match monitor.run_kind {
                 Some(RunKind::Filler { image, .. }) => {
                     fillers.push(FillerLoad { image, cores: cores(task.load) });
                 }
--- a/src/control/dispatch/orders.rs
+++ b/src/control/dispatch/orders.rs
@@ -286,7 +286,7 @@
     match end.outcome {
         RunOutcome::Done => session.health.note_done(),
         RunOutcome::Failed if session.health.note_failed(workflow, now.mono_ms) => {
-            tracing::warn!(event = "worker_shunned", worker = %worker.name, cause = "failures", run = %run_name(end.run));
+            tracing::warn!(event = "worker_avoided", worker = %worker.name, cause = "failures", run = %run_name(end.run));
         }
         _ => (),
     }
--- a/src/control/dispatch/plan/builder.rs
+++ b/src/control/dispatch/plan/builder.rs
@@ -308,7 +308,7 @@
         if self.unmet.iter().any(|it| it.rules_out(&need)) {
             return None;
         }
-        let Some((_, room)) =
+        let Some((_, worker_index)) =
             self.offers(&demand, &counts_of(step, state), PlacementMode::ProtectLatency).pop()
         else {
             if step.per_worker_max == 0 {
@@ -318,18 +318,18 @@
         };
         let speed = match demand.run_kind {
             RunKind::Filler { image, millicores } => {
-                self.workers[room].speed_of(image, millicores, self.contention)
+                self.workers[worker_index].speed_of(image, millicores, self.contention)
             }
             _ => 1.0,
         };
-        Some(MoveTarget { worker_index: room, worker: self.workers[room].id, speed, demand })
+        Some(MoveTarget { worker_index, worker: self.workers[worker_index].id, speed, demand })
     }
 
     /// Keeps what was found for a run that is to move there.
     pub(super) fn keep(&mut self, it: &MoveTarget<'_>) {
-        let room = &mut self.workers[it.worker_index];
-        room.take(&it.demand, self.contention);
-        self.touched.insert(room.id);
+        let worker = &mut self.workers[it.worker_index];
+        worker.take(&it.demand, self.contention);
+        self.touched.insert(worker.id);
     }
 }
 
--- a/src/control/dispatch/plan/mod.rs
+++ b/src/control/dispatch/plan/mod.rs
@@ -148,18 +148,18 @@
     res
 }
 
-fn candidate(workflows: &Workflows, at: StepRef, now: Now) -> Option<Candidate<'_>> {
-    let workflow = workflows.get(at.workflow)?;
+fn candidate(workflows: &Workflows, step_ref: StepRef, now: Now) -> Option<Candidate<'_>> {
+    let workflow = workflows.get(step_ref.workflow)?;
     let queue = workflows.queue(&workflow.queue)?;
-    let due_ms = workflow.due_ms(at.occurrence as usize);
+    let due_ms = workflow.due_ms(step_ref.occurrence as usize);
     if now.wall_ms < due_ms {
         return None;
     }
-    let occurrence = workflow.occurrences.get(at.occurrence as usize)?;
+    let occurrence = workflow.occurrences.get(step_ref.occurrence as usize)?;
     let tails_ms = tails_ms(&workflow.spec);
     let chain_ms = tails_ms.iter().copied().max().unwrap_or(0);
     let objective_ms = chain_ms * u64::from(queue.stretch_percent) / 100 + queue.target_ms;
-    let step = at.step as usize;
+    let step = step_ref.step as usize;
     let claim = PendingStep {
         priority: queue.priority,
         is_long_running: workflow.spec.steps.get(step)?.lasting,
@@ -167,7 +167,7 @@
         remaining_ms: tails_ms[step],
         work_core_ms: work_core_ms(workflow, occurrence),
     };
-    Some(Candidate { urgency: urgency(claim, now.wall_ms), step_ref: at, workflow })
+    Some(Candidate { urgency: urgency(claim, now.wall_ms), step_ref, workflow })
 }
 
 /// Returns for each step the longest chain of declared run times that begins with it.
--- a/src/control/dispatch/plan/waiting_steps.rs
+++ b/src/control/dispatch/plan/waiting_steps.rs
@@ -79,12 +79,12 @@
         let workers = builder.workers().len();
         let cause = match self {
             _ if workers == 0 => "no_worker",
-            it if it.held == it.tasks => "no_calm",
-            it if it.suspects == it.tasks => "trial",
-            _ => "no_room",
+            it if it.held == it.tasks => "recent_crashes",
+            it if it.suspects == it.tasks => "probation",
+            _ => "no_capacity",
         };
         let probations = builder.probations().len();
-        tracing::warn!(event = "tasks_wait", workflow = %format_args!("{:016x}", at.workflow.0), step = at.step, tasks = self.tasks, suspects = self.suspects, waited_ms, workers, trials = probations, cause);
+        tracing::warn!(event = "tasks_waiting", workflow = %format_args!("{:016x}", at.workflow.0), step = at.step, tasks = self.tasks, suspects = self.suspects, waited_ms, workers, probations, cause);
     }
 }
 
--- a/src/control/log/disk.rs
+++ b/src/control/log/disk.rs
@@ -218,7 +218,7 @@
             .and_then(|()| file.sync_all())
             .change_context_lazy(|| cannot("sync", &path))?;
         sync_folder(folder)?;
-        let hard = recovered.hard_state;
+        let hard_state = recovered.hard_state;
         let disk = Disk {
             folder: folder.to_owned(),
             file,
@@ -226,7 +226,7 @@
             size_bytes,
             durable_bytes: size_bytes,
             durable_write_count: 0,
-            hard_state: hard,
+            hard_state,
             free_min_bytes,
             _lock: lock,
         };
--- a/src/control/scheduler/mod.rs
+++ b/src/control/scheduler/mod.rs
@@ -224,13 +224,13 @@
                 let is_batch =
                     state.class(&job.spec.class).is_some_and(|it| it.kind == ClassKind::Batch);
                 let kind = is_batch.then(|| job.spec.kind.clone());
-                let millicores = u64::from(need.cpu_millicores);
+                let allowed_millicores = u64::from(need.cpu_millicores);
                 let placed_task = PlacedTask {
                     team: job.team.clone(),
                     need,
                     vm: placement.vm,
                     kind,
-                    allowed_millicores: millicores,
+                    allowed_millicores,
                 };
                 self.queue.record_run_change(&job.team, need, RunChange::Started);
                 self.placed_tasks.add(id, placed_task);
--- a/src/control/state/mod.rs
+++ b/src/control/state/mod.rs
@@ -49,6 +49,7 @@
 /// The replicated state of one control group.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct State {
+    #[serde(rename = "place")]
     group_id: Place,
     index: u64,
     time_ms: u64,
--- a/src/control/state/workflows/mod.rs
+++ b/src/control/state/workflows/mod.rs
@@ -42,6 +42,7 @@
     active: BTreeSet<WorkflowId>,
     workers: Workers,
     /// What leaders have learned of images beside each other.
+    #[serde(rename = "costs")]
     image_costs: Vec<ImageCost>,
     #[serde(skip)]
     index: index::Index,
--- a/src/entry/core/claims.rs
+++ b/src/entry/core/claims.rs
@@ -155,16 +155,15 @@
     fn follow(&mut self, now: Now, key: PendingRequestKey, claim: Option<&Claim>) {
         self.release_claiming(key);
         let Some(pending) = self.pending_requests.get_mut(key) else { return };
-        let asked_ms = match pending.stage {
-            Stage::Following { query_sent_ms: asked_ms, .. } => asked_ms,
+        let query_sent_ms = match pending.stage {
+            Stage::Following { query_sent_ms, .. } => query_sent_ms,
             _ => None,
         };
         let is_stale = pending.arrived_ms + STALE_MS <= now.mono_ms;
-        let asked_lately = asked_ms.is_some_and(|it| now.mono_ms < it + ASK_AGAIN_MS);
+        let asked_lately = query_sent_ms.is_some_and(|it| now.mono_ms < it + ASK_AGAIN_MS);
         let ask = claim.filter(|_| is_stale && !asked_lately);
-        let asked_ms = if ask.is_some() { Some(now.mono_ms) } else { asked_ms };
-        pending.stage =
-            Stage::Following { next_lookup_ms: now.mono_ms + LOOK_MS, query_sent_ms: asked_ms };
+        let query_sent_ms = if ask.is_some() { Some(now.mono_ms) } else { query_sent_ms };
+        pending.stage = Stage::Following { next_lookup_ms: now.mono_ms + LOOK_MS, query_sent_ms };
         self.schedule(now.mono_ms + LOOK_MS, key);
         if let Some(it) = ask {
             self.ask_agent_of(key, it);
--- a/src/error/mod.rs
+++ b/src/error/mod.rs
@@ -78,8 +78,13 @@
     pub retryable: bool,
 }
 
-const fn row(kind: ErrorKind, status: u16, ran: ExecutionStatus, retryable: bool) -> ErrorAnswer {
-    ErrorAnswer { kind, status, execution: ran, retryable }
+const fn row(
+    kind: ErrorKind,
+    status: u16,
+    execution: ExecutionStatus,
+    retryable: bool,
+) -> ErrorAnswer {
+    ErrorAnswer { kind, status, execution, retryable }
 }
 
 /// Every kind with its answer, in the order of the schema.
--- a/src/node/fillers.rs
+++ b/src/node/fillers.rs
@@ -139,7 +139,7 @@
         if before != after {
             let least = readings.iter().map(|it| it.headroom_percent).fold(f64::MAX, f64::min);
             let count = fillers.len().max(1) as u32;
-            tracing::info!(event = "fillers_paced", worker = %self.name, mean_percent = after / count, from_percent = before / count, least_headroom_percent = least as u64, fillers = fillers.len(), serving = readings.len());
+            tracing::info!(event = "fillers_throttled", worker = %self.name, mean_percent = after / count, from_percent = before / count, least_headroom_percent = least as u64, fillers = fillers.len(), serving = readings.len());
         }
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -265,7 +265,7 @@
                 self.unconfirmed = None;
             }
             Verdict::Heard if !doubtful.is_empty() => {
-                tracing::info!(event = "starts_barred", worker = %unconfirmed.announcement.incarnation_name(), starts = doubtful.len());
+                tracing::info!(event = "starts_blocked", worker = %unconfirmed.announcement.incarnation_name(), starts = doubtful.len());
                 unconfirmed.bar(doubtful, now);
             }
             Verdict::Heard | Verdict::Ready => {
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -59,8 +59,8 @@
     fn bar_unfit(&mut self, now: Now) {
         let capacity = self.announcement.capacity;
         for pending in self.orders.values_mut() {
-            if let Order::Start { planned_capacity: made_for, .. } = pending.order
-                && !fits(made_for, capacity)
+            if let Order::Start { planned_capacity, .. } = pending.order
+                && !fits(planned_capacity, capacity)
             {
                 pending.bar(RefusalCause::Room, now);
             }
@@ -168,7 +168,7 @@
         res
     }
 
-    fn take_start(&mut self, now: Now, it: StartRun, made_for: Resources) {
+    fn take_start(&mut self, now: Now, it: StartRun, planned_capacity: Resources) {
         self.roles.insert(it.run, it.role);
         let is_known = self.knows(it.run)
             || self.orders.contains_key(&it.run)
@@ -176,11 +176,8 @@
         if is_known {
             return;
         }
-        let order = Order::Start {
-            payload: it.payload,
-            checkpoint: it.checkpoint,
-            planned_capacity: made_for,
-        };
+        let order =
+            Order::Start { payload: it.payload, checkpoint: it.checkpoint, planned_capacity };
         let mut pending = PendingOrder::new(order, now);
         if self.announcement.draining {
             // This process may have just started, with a call of the one before it on its way.
@@ -264,18 +261,13 @@
             };
             let action = Action::Poll { lease_until_ms: lease, acked_cursor, wait_ms };
             let call = call(action, &mut self.next_call);
-            let lapsed_if_past_ms = worker.sent_lease_until_ms.filter(|_| may_have_lapsed);
+            let previous_lease_until_ms = worker.sent_lease_until_ms.filter(|_| may_have_lapsed);
             let sent_ms = now.mono_ms;
-            worker.poll = Some(PendingPoll {
-                call,
-                sent_ms,
-                wait_ms,
-                acked_cursor,
-                previous_lease_until_ms: lapsed_if_past_ms,
-            });
+            worker.poll =
+                Some(PendingPoll { call, sent_ms, wait_ms, acked_cursor, previous_lease_until_ms });
             worker.sent_lease_until_ms = worker.sent_lease_until_ms.max(lease);
         }
-        let is_unsure = worker.may_be_replaced;
+        let may_be_replaced = worker.may_be_replaced;
         let mut sent_lease_until_ms = worker.sent_lease_until_ms;
         for (run, pending) in &mut worker.orders {
             if pending.call.is_some() || now.mono_ms < pending.next_ms {
@@ -283,7 +275,7 @@
             }
             let action = match (&pending.order, lease) {
                 (Order::Blocked { .. }, _) => continue,
-                (Order::Start { .. }, _) if is_unsure => {
+                (Order::Start { .. }, _) if may_be_replaced => {
                     pending.next_ms = now.mono_ms + self.options.retry_ms;
                     continue;
                 }
@@ -307,9 +299,9 @@
             pending.call = Some(call(action, &mut self.next_call));
         }
         worker.sent_lease_until_ms = sent_lease_until_ms;
-        for (run, percent) in worker.speeds_to_send() {
-            let id = call(Action::Throttle { run, speed_percent: percent }, &mut self.next_call);
-            worker.throttle_calls.insert(id, (run, percent));
+        for (run, speed_percent) in worker.speeds_to_send() {
+            let id = call(Action::Throttle { run, speed_percent }, &mut self.next_call);
+            worker.throttle_calls.insert(id, (run, speed_percent));
         }
         let (worker, token) = (worker.announcement.id.clone(), worker.token);
         for (id, action) in calls {
@@ -340,7 +332,7 @@
             CallResult::ConnectionRefused => {
                 let since_ms = *worker.missing_since_ms.get_or_insert(now.mono_ms);
                 if since_ms + GONE_AFTER_MS <= now.mono_ms && !worker.is_gone {
-                    tracing::warn!(event = "worker_gone", worker = %worker.name, cause = "nobody_listens", missing_ms = now.mono_ms - since_ms);
+                    tracing::warn!(event = "worker_gone", worker = %worker.name, cause = "connection_refused", missing_ms = now.mono_ms - since_ms);
                     worker.is_gone = true;
                     worker.refuse_unsent();
                     self.is_dirty = true;
@@ -393,7 +385,7 @@
             | CallResult::PartialRunList { started_unix_ms, .. }
                 if !tells_start(started_unix_ms) =>
             {
-                tracing::warn!(event = "list_passed_over", worker = %worker.name, cause = "no_start");
+                tracing::warn!(event = "list_ignored", worker = %worker.name, cause = "no_start");
                 worker.next_poll_ms = now.mono_ms + self.options.retry_ms;
                 return;
             }
@@ -406,10 +398,10 @@
                 running,
                 mut ended,
                 ended_after_unreadable,
-                unreadable_rows: unreadable,
+                unreadable_rows,
                 ..
             } => {
-                let is_whole = 0 < unreadable && worker.judge_gap(unreadable);
+                let is_whole = 0 < unreadable_rows && worker.judge_gap(unreadable_rows);
                 if is_whole {
                     ended.extend(ended_after_unreadable);
                 }
--- a/src/node/worker.rs
+++ b/src/node/worker.rs
@@ -132,7 +132,7 @@
 impl WorkerIncarnation {
     pub(super) fn new(
         announcement: Announcement,
-        calls_after: u64,
+        last_call_before: u64,
         harm_max_ms: u64,
         now: Now,
     ) -> WorkerIncarnation {
@@ -140,7 +140,7 @@
             name: announcement.incarnation_name(),
             clock: ClockSample { clock_ms: announcement.clock_ms, at_ms: now.mono_ms },
             announcement,
-            last_call_before: calls_after,
+            last_call_before,
             last_contact_ms: now.mono_ms,
             listed_term: 0,
             running: Vec::new(),
--- a/src/policy/crash_evidence.rs
+++ b/src/policy/crash_evidence.rs
@@ -113,9 +113,11 @@
 /// What is held against a task: crashes of its workers in a row, none of which it outlived.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct CrashEvidence {
+    #[serde(rename = "losses")]
     pub crashes_in_row: u32,
     /// Runs since then that ended with a worker that fell silent: it may have crashed.
     silent: u32,
+    #[serde(rename = "odds")]
     pub likelihood_ratio: f64,
     /// Age of its run at the last crash that it was seen at.
     age_ms: u64,
@@ -130,14 +132,14 @@
 impl CrashEvidence {
     /// Returns what is held against the task after one more crash, seen at an age of its run.
     pub fn after_crash(self, age_ms: u64, baseline: BaselineCrashRate) -> CrashEvidence {
-        let losses = self.crashes_in_row + 1;
+        let crashes_in_row = self.crashes_in_row + 1;
         let before_ms = (0 < self.age_ms).then_some(self.age_ms);
-        let odds = match self.is_ruled_out_at_age(age_ms) {
+        let likelihood_ratio = match self.is_ruled_out_at_age(age_ms) {
             // An order that came late makes a young run look old, so that the count goes on.
             true => baseline.likelihood_ratio(age_ms, None),
             false => self.likelihood_ratio * baseline.likelihood_ratio(age_ms, before_ms),
         };
-        CrashEvidence { crashes_in_row: losses, likelihood_ratio: odds, age_ms, ..self }
+        CrashEvidence { crashes_in_row, likelihood_ratio, age_ms, ..self }
     }
 
     /// Returns what is held against the task after a crash that another task explains.
--- a/src/policy/feedback.rs
+++ b/src/policy/feedback.rs
@@ -91,8 +91,7 @@
         report: TailLatencyReport,
         worst: Option<TaskId>,
     ) -> FeedbackAction {
-        let TailLatencyReport { tail_ms, unthrottled_tail_ms, target_ms, report_age_ms: lag_ms } =
-            report;
+        let TailLatencyReport { tail_ms, unthrottled_tail_ms, target_ms, report_age_ms } = report;
         let above = target_ms < tail_ms;
         // A throttled neighbour is let go once its estimated harm would fit again, not only when
         // the tail is far below: it holds its processors meanwhile and uses a part of them.
@@ -103,7 +102,7 @@
         self.high = if above { self.high + 1 } else { 0 };
         self.low = if below && !above { self.low + 1 } else { 0 };
         // A report that began before the last action says nothing of its effect.
-        if self.acted_ms.is_some_and(|it| now_ms < it + lag_ms * 2) {
+        if self.acted_ms.is_some_and(|it| now_ms < it + report_age_ms * 2) {
             return FeedbackAction::None;
         }
         let action = match (self.throttled, worst) {
--- a/src/policy/throttling.rs
+++ b/src/policy/throttling.rs
@@ -137,23 +137,18 @@
 }
 
 impl Track {
-    fn new(rest_percent: f64, now_ms: u64) -> Track {
-        Track {
-            idle_headroom_percent: rest_percent,
-            fall_percent_per_s: 0.0,
-            at_ms: now_ms,
-            over_since_ms: None,
-        }
+    fn new(idle_headroom_percent: f64, now_ms: u64) -> Track {
+        Track { idle_headroom_percent, fall_percent_per_s: 0.0, at_ms: now_ms, over_since_ms: None }
     }
 
     /// Takes in a headroom, and what fillers took of it.
-    fn observe(&mut self, headroom_percent: f64, taken_percent: f64, now_ms: u64) {
-        let rest_percent = headroom_percent + taken_percent;
+    fn observe(&mut self, headroom_percent: f64, used_percent: f64, now_ms: u64) {
+        let idle_headroom_percent = headroom_percent + used_percent;
         if self.at_ms < now_ms {
             let passed_s = (now_ms - self.at_ms) as f64 / 1_000.0;
-            let fall = (self.idle_headroom_percent - rest_percent) / passed_s;
+            let fall = (self.idle_headroom_percent - idle_headroom_percent) / passed_s;
             self.fall_percent_per_s += (fall - self.fall_percent_per_s) * FALL_GAIN;
-            self.idle_headroom_percent = rest_percent;
+            self.idle_headroom_percent = idle_headroom_percent;
             self.at_ms = now_ms;
         }
         self.over_since_ms = match headroom_percent < BOUND_PERCENT {
--- a/src/runtime/disk.rs
+++ b/src/runtime/disk.rs
@@ -176,7 +176,7 @@
     ) -> std::result::Result<(), error_stack::Report<Error>> {
         let began = Instant::now();
         self.writes.drain(..disk.durable_write_count());
-        tracing::error!(event = "disk_refuses", error = %format_args!("{:#}", self.report), writes = self.writes.len());
+        tracing::error!(event = "disk_writes_refused", error = %format_args!("{:#}", self.report), writes = self.writes.len());
         sink.refusal_changed(true);
         let mut tries = 0_u32;
         loop {
@@ -199,7 +199,7 @@
             }
         }
         tracing::warn!(
-            event = "disk_takes_writes",
+            event = "disk_writes_resumed",
             after_ms = began.elapsed().as_millis() as u64,
             tries
         );
--- a/src/runtime/single_threaded/mod.rs
+++ b/src/runtime/single_threaded/mod.rs
@@ -287,7 +287,7 @@
             res
         };
         let is_stopping = Rc::new(Cell::new(false));
-        let served = Rc::new(Cell::new(Instant::now()));
+        let last_activity = Rc::new(Cell::new(Instant::now()));
         let controls = control_links(&self.settings);
         let member = match (&self.settings.dispatch, disk) {
             (Some(settings), Some(it)) => {
@@ -328,20 +328,20 @@
                     pending: pending.clone(),
                     platform: self.platform.clone(),
                     is_stopping: is_stopping.clone(),
-                    last_activity: served.clone(),
+                    last_activity: last_activity.clone(),
                     metrics: self.metrics.clone(),
                 };
                 let core =
                     GatewayCore::new(gateway_options(settings, sender.own_address, &controls));
                 let status = status();
-                self.start_gateway_edge(settings, &pending, served.clone())?;
+                self.start_gateway_edge(settings, &pending, last_activity.clone())?;
                 self.start_readiness(settings.readiness_listen, status.clone())?;
                 self.start_metrics(settings.metrics_listen)?;
                 Some(start_actor(stakker, core, adapter, status))
             }
             None => None,
         };
-        Ok(Actors { gateway, node, member, statuses, is_stopping, last_activity: served })
+        Ok(Actors { gateway, node, member, statuses, is_stopping, last_activity })
     }
 
     fn control_options(
--- a/src/standin/executor.rs
+++ b/src/standin/executor.rs
@@ -152,6 +152,6 @@
     }
     let leave = json!({"address": options.listen}).to_string();
     if let Err(error) = client.post(format!("http://{}/v1/leave", options.agent)).send(leave) {
-        tracing::warn!(event = "leave_not_told", %error);
+        tracing::warn!(event = "leave_not_reported", %error);
     }
 }
--- a/tests/fillers.rs
+++ b/tests/fillers.rs
@@ -431,12 +431,12 @@
 #[test]
 fn a_run_that_saves_nothing_moves_only_early() {
     let moves = |progress_percent: u32| {
-        let checkpoints = false;
+        let keeps_progress = false;
         let current_speed_share = 0.4;
         let it = MigrationCandidate {
             estimate_ms: 6_000,
             progress_percent,
-            keeps_progress: checkpoints,
+            keeps_progress,
             current_speed_share,
         };
         is_worth_moving(it, 1.0)
--- a/tests/promises/world/mod.rs
+++ b/tests/promises/world/mod.rs
@@ -199,7 +199,7 @@
     pub fn start(&mut self, node: usize) {
         let now = self.now();
         let boot = self.random.u64(..);
-        let controls: Vec<_> = self.controls.iter().map(|it| address(*it)).collect();
+        let control_addresses: Vec<_> = self.controls.iter().map(|it| address(*it)).collect();
         let own = self.nodes[node].address;
         self.nodes[node].boot = boot;
         self.nodes[node].started_ms = self.now_ms;
@@ -209,7 +209,7 @@
                     group_id: GROUP_ID,
                     member: *member,
                     address: own,
-                    control_addresses: controls,
+                    control_addresses,
                     settings: control_settings(),
                     boot,
                     dispatch: None,
@@ -223,7 +223,7 @@
                     name: format_compact!("entry-{node}"),
                     zone: format_compact!("zone-{}", node % 3),
                     address: own,
-                    control_addresses: controls,
+                    control_addresses,
                     settings: entry_settings(),
                     boot,
                 };
@@ -232,7 +232,7 @@
             RoleCore::Agent { core, vm } => {
                 let options = AgentOptions {
                     address: own,
-                    control_addresses: controls,
+                    control_addresses,
                     zone: format_compact!("zone-{}", *vm % 3),
                     rack: format_compact!("rack-{}", *vm / 2),
                     settings: agent_settings(*vm),
