--- a/src/control/dispatch/capacity.rs
+++ b/src/control/dispatch/capacity.rs
@@ -236,7 +236,7 @@
         &self,
         demand: &TaskDemand<'_>,
         placed: u32,
-        care: PlacementMode,
+        mode: PlacementMode,
         contention: &ContentionModel,
     ) -> Option<Preference> {
         if !self.holds(demand, placed) {
@@ -249,7 +249,7 @@
             // Where it is fast, then where it costs least, then where most is unused.
             RunKind::Filler { image, millicores } => {
                 let speed = self.speed_of(image, millicores, contention);
-                if care == PlacementMode::ProtectLatency && speed < SPEED_MIN {
+                if mode == PlacementMode::ProtectLatency && speed < SPEED_MIN {
                     return None;
                 }
                 [
--- a/src/control/dispatch/plan/builder.rs
+++ b/src/control/dispatch/plan/builder.rs
@@ -117,13 +117,13 @@
     }
 
     /// Places the tasks of a step that wait, as far as there is room.
-    pub(super) fn place(&mut self, at: StepRef, workflow: &Workflow, care: PlacementMode) {
+    pub(super) fn place(&mut self, at: StepRef, workflow: &Workflow, mode: PlacementMode) {
         let Some(queue) = self.workflows.queue(&workflow.queue) else { return };
         let Some(step) = workflow.spec.steps.get(at.step as usize) else { return };
         let Some(state) = state_of(workflow, at) else { return };
         let demand = TaskDemand::new(step, queue, self.contention);
         let need = Unmet::new(&demand);
-        if care == PlacementMode::ProtectLatency && self.unmet.iter().any(|it| it.rules_out(&need))
+        if mode == PlacementMode::ProtectLatency && self.unmet.iter().any(|it| it.rules_out(&need))
         {
             return;
         }
@@ -138,16 +138,16 @@
         match step.gang {
             // Members of an earlier run are still ending.
             true if waiting.len() < state.tasks.len() => (),
-            true => self.place_gang(at, &demand, state, &waiting, care),
+            true => self.place_gang(at, &demand, state, &waiting, mode),
             false => {
                 // One that runs is enough not to be idle.
-                let most = if care == PlacementMode::AnyWorker { 1 } else { usize::MAX };
+                let most = if mode == PlacementMode::AnyWorker { 1 } else { usize::MAX };
                 let most = most.min(waiting.len());
                 let Parted { tried, free } = self.split(at, &waiting[..most]);
-                self.place_tried(at, &demand, state, &tried, care);
-                let placed = self.place_tasks(at, &demand, state, &free, care);
+                self.place_tried(at, &demand, state, &tried, mode);
+                let placed = self.place_tasks(at, &demand, state, &free, mode);
                 if placed < free.len()
-                    && care == PlacementMode::ProtectLatency
+                    && mode == PlacementMode::ProtectLatency
                     && step.per_worker_max == 0
                 {
                     self.unmet.push(need);
@@ -163,15 +163,15 @@
         demand: &TaskDemand<'_>,
         state: &StepState,
         waiting: &[(u32, u32)],
-        care: PlacementMode,
+        mode: PlacementMode,
     ) {
         let run = waiting.iter().map(|(_, run)| *run).max().unwrap_or(1);
         let members: Vec<_> = waiting.iter().map(|(index, _)| (*index, run)).collect();
         let from = self.runs.len();
         let probations = self.probations.clone();
         let Parted { tried, free } = self.split(at, &members);
-        let is_placed = self.place_tried(at, demand, state, &tried, care) == tried.len()
-            && self.place_tasks(at, demand, state, &free, care) == free.len();
+        let is_placed = self.place_tried(at, demand, state, &tried, mode) == tried.len()
+            && self.place_tasks(at, demand, state, &free, mode) == free.len();
         if is_placed {
             return;
         }
@@ -206,7 +206,7 @@
         demand: &TaskDemand<'_>,
         state: &StepState,
         tasks: &[(u32, u32)],
-        care: PlacementMode,
+        mode: PlacementMode,
     ) -> usize {
         let mut counts = counts_of(demand.step, state);
         let must_wait = self.probations.are_many(self.workers.len());
@@ -215,10 +215,10 @@
             let count = |it: WorkerId| counts.get(&it).copied().unwrap_or(0);
             let has_room = |it: &usize| {
                 let room = &self.workers[*it];
-                room.offer(demand, count(room.id), care, self.contention).is_some()
+                room.offer(demand, count(room.id), mode, self.contention).is_some()
             };
             let shared = taken.iter().copied().find(has_room);
-            let fresh = || self.least_to_lose(demand, &counts, care).filter(|_| !must_wait);
+            let fresh = || self.least_to_lose(demand, &counts, mode).filter(|_| !must_wait);
             let Some(best) = shared.or_else(fresh) else { return placed };
             let worker = self.workers[best].id;
             self.workers[best].take(demand, self.contention);
@@ -238,14 +238,14 @@
         &self,
         demand: &TaskDemand<'_>,
         counts: &HashMap<WorkerId, u32>,
-        care: PlacementMode,
+        mode: PlacementMode,
     ) -> Option<usize> {
         let loss = |it: &usize| {
             let id = self.workers[*it].id;
             let runs = self.workflows.workers().get(id).map(|it| it.runs.len());
             (self.probations.is_recently_enrolled(id), runs, *it)
         };
-        self.offers(demand, counts, care).into_iter().map(|(_, it)| it).min_by_key(loss)
+        self.offers(demand, counts, mode).into_iter().map(|(_, it)| it).min_by_key(loss)
     }
 
     /// Places tasks, each with its run number, until there is no room; returns how many.
@@ -257,10 +257,10 @@
         demand: &TaskDemand<'_>,
         state: &StepState,
         tasks: &[(u32, u32)],
-        care: PlacementMode,
+        mode: PlacementMode,
     ) -> usize {
         let mut counts = counts_of(demand.step, state);
-        let mut offers = self.offers(demand, &counts, care);
+        let mut offers = self.offers(demand, &counts, mode);
         for (placed, (index, run)) in tasks.iter().enumerate() {
             let Some((_, best)) = offers.pop() else { return placed };
             let room = &mut self.workers[best];
@@ -270,7 +270,7 @@
             *count += 1;
             let run = RunRef { task: task_of(at, *index), run: *run };
             self.runs.push(RunPlacement { run, worker: room.id });
-            if let Some(it) = room.offer(demand, *count, care, self.contention) {
+            if let Some(it) = room.offer(demand, *count, mode, self.contention) {
                 offers.push((it, best));
             }
         }
@@ -281,14 +281,14 @@
         &self,
         demand: &TaskDemand<'_>,
         counts: &HashMap<WorkerId, u32>,
-        care: PlacementMode,
+        mode: PlacementMode,
     ) -> BinaryHeap<(Preference, usize)> {
         let offer = |(at, room): (usize, &&'r mut FreeCapacity)| {
             if self.probations.contains(room.id) {
                 return None;
             }
             let placed = counts.get(&room.id).copied().unwrap_or(0);
-            Some((room.offer(demand, placed, care, self.contention)?, at))
+            Some((room.offer(demand, placed, mode, self.contention)?, at))
         };
         self.rows_visited.set(self.rows_visited.get() + self.workers.len() as u64);
         self.workers.iter().enumerate().filter_map(offer).collect()
--- a/src/control/log/raft/mod.rs
+++ b/src/control/log/raft/mod.rs
@@ -347,7 +347,7 @@
             && self.snapshot_index() < self.applied_index
     }
 
-    /// Takes the writes gathered so far with their number; [`Raft::persisted`] is to be told it.
+    /// Takes the writes gathered so far with their number; [`Raft::on_persisted`] is to be told it.
     pub fn take_writes(&mut self, now: Now) -> Option<(u64, Vec<DiskWrite>)> {
         if self.pending.is_empty() || self.gathers(now) {
             return None;
--- a/src/control/state/vms.rs
+++ b/src/control/state/vms.rs
@@ -238,7 +238,7 @@
     }
 }
 
-/// Returns whether `need` is within `room` in every part.
+/// Returns whether `need` is within `free` in every part.
 pub fn fits(need: Resources, free: Resources) -> bool {
     need.cpu_millicores <= free.cpu_millicores
         && need.memory_mib <= free.memory_mib
--- a/src/error/mod.rs
+++ b/src/error/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Errors inside the process are [`Report`]s over one opaque [`Error`], with context attached at
 //! each layer. Errors told to a client are a [`Refusal`]; how a refusal is answered is read
-//! from [`answer_of`], never decided at the place that refuses.
+//! from [`answer_for_error`], never decided at the place that refuses.
 
 use std::fmt;
 
@@ -133,10 +133,10 @@
 /// Returns how errors of `kind` are answered.
 ///
 /// ```
-/// use aspenrail::error::{ErrorKind, Ran, answer_of};
+/// use aspenrail::error::{ErrorKind, ExecutionStatus, answer_for_error};
 ///
-/// let row = answer_of(ErrorKind::QueueFull);
-/// assert_eq!((row.status, row.ran, row.retryable), (429, Ran::No, true));
+/// let row = answer_for_error(ErrorKind::QueueFull);
+/// assert_eq!((row.status, row.execution, row.retryable), (429, ExecutionStatus::NotExecuted, true));
 /// ```
 pub fn answer_for_error(kind: ErrorKind) -> ErrorAnswer {
     // The table is in the order of the enum; a test holds the two together.
--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -49,7 +49,7 @@
         running: Vec<RunningTask>,
         ended: Vec<EndedRun>,
     },
-    /// As `Held`, with rows that cannot be read, or cut short, where none of them is unreadable: what
+    /// As `RunList`, with rows that cannot be read, or cut short, where none of them is unreadable: what
     /// is not listed may run all the same. Ends behind an unreadable row stand apart, since to
     /// acknowledge one is to acknowledge all before.
     PartialRunList {
--- a/src/policy/interference.rs
+++ b/src/policy/interference.rs
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct InterferenceModel {
     harm: HashMap<(CompactString, CompactString), f64>,
-    usual_ms: HashMap<CompactString, f64>,
+    baseline_tail_ms: HashMap<CompactString, f64>,
 }
 
 impl InterferenceModel {
@@ -69,7 +69,7 @@
 
     /// Returns the tail of `class` with nothing harmful beside it, once it is known.
     pub fn baseline_tail_ms(&self, class: &str) -> Option<f64> {
-        self.usual_ms.get(class).copied()
+        self.baseline_tail_ms.get(class).copied()
     }
 
     /// Returns the slow-down of `class` to expect beside `kinds`.
@@ -83,7 +83,8 @@
     /// Learns the tail of `class` measured beside `kinds`.
     pub fn observe(&mut self, class: &str, tail_ms: f64, kinds: &[(CompactString, f64)]) {
         let predicted = self.slowdown(class, kinds);
-        let baseline_tail_ms = self.usual_ms.entry(class.into()).or_insert(tail_ms / predicted);
+        let baseline_tail_ms =
+            self.baseline_tail_ms.entry(class.into()).or_insert(tail_ms / predicted);
         // The usual time follows reports from VMs where nothing else is thought to harm.
         let alone_ms = tail_ms / predicted;
         let usual_gain =
--- a/src/policy/preemption.rs
+++ b/src/policy/preemption.rs
@@ -28,7 +28,7 @@
 /// };
 ///
 /// let cpu = |cpu_millicores| Resources { cpu_millicores, memory_mib: 0, accelerators: 0 };
-/// let victim = |task, holds, lost_ms| Victim { task: TaskId(task), holds: cpu(holds), lost_ms, borrows: false };
+/// let victim = |task, resources, lost_run_ms| Victim { task: TaskId(task), resources: cpu(resources), lost_run_ms, exceeds_quota: false };
 /// let victims = [victim(1, 2_000, 9_000), victim(2, 2_000, 100)];
 /// assert_eq!(choose_victims(cpu(2_000), cpu(0), &victims), Some((vec![TaskId(2)], 100)));
 /// assert_eq!(choose_victims(cpu(9_000), cpu(0), &victims), None);
