--- a/src/schema/messages.rs
+++ b/src/schema/messages.rs
@@ -32,7 +32,7 @@
         }
     }
 }
-///What an operator asks to see.
+///A view that an operator can request.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum AdminView {
@@ -134,7 +134,7 @@
         value.parse()
     }
 }
-///An agent's report on its VM, and its request to renew the lease.
+///Reports on an agent's VM and requests a lease renewal.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -143,7 +143,7 @@
     pub endpoints: ::std::vec::Vec<EndpointReport>,
     pub in_force: Revision,
     pub number: u64,
-    ///Whether tasks lists everything that the worker runs.
+    ///Whether `tasks` lists every task that the worker runs.
     pub reconciled: bool,
     pub reply_to: ::std::net::SocketAddr,
     pub sent_ms: u64,
@@ -161,12 +161,12 @@
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentHeartbeatReply {
-    ///The configuration in force, for an agent that is behind.
+    ///The configuration in force, if the agent's is older.
     pub configuration: ::std::option::Option<Configuration>,
     pub lease_ms: u32,
     pub number: u64,
     pub orders: ::std::vec::Vec<TaskOrder>,
-    ///Echo of the heartbeat's clock, from which the lease counts.
+    ///`sent_ms` of the heartbeat, from which the lease counts.
     pub sent_ms: u64,
     pub session: SessionId,
     pub verdict: SessionVerdict,
@@ -176,7 +176,7 @@
         value.clone()
     }
 }
-///A whole answer of an endpoint.
+///A complete answer of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -197,7 +197,7 @@
 #[serde(deny_unknown_fields)]
 pub struct AppendReply {
     pub in_force: Revision,
-    ///Highest index known equal; when not matched, where to go back to.
+    ///Highest index known to match; if not `matched`, the index to retry from.
     pub match_index: u64,
     pub matched: bool,
     pub sent_ms: u64,
@@ -208,7 +208,7 @@
         value.clone()
     }
 }
-///Replicates entries, or only the leader's heartbeat.
+///Replicates entries; without entries, a heartbeat of the leader.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -217,7 +217,7 @@
     pub entries: ::std::vec::Vec<LogEntry>,
     pub previous_index: u64,
     pub previous_term: u64,
-    ///The leader's clock, echoed in the reply.
+    ///The leader's clock at sending, echoed in the reply.
     pub sent_ms: u64,
     pub term: u64,
 }
@@ -226,7 +226,7 @@
         value.clone()
     }
 }
-///Cancels jobs of one team in one step.
+///Cancels jobs of one team atomically.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -245,7 +245,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Checkpoint {
     pub run_ms: u64,
-    ///What the worker needs to resume; empty to begin anew.
+    ///Opaque token from which the worker resumes; empty to start anew.
     pub token: ::compact_str::CompactString,
 }
 impl ::std::convert::From<&Checkpoint> for Checkpoint {
@@ -253,7 +253,7 @@
         value.clone()
     }
 }
-///A claimed idempotency key.
+///A claim on an idempotency key.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -280,7 +280,7 @@
     pub agent: ::std::net::SocketAddr,
     ///The attempt that this claim makes, one above the claim's last.
     pub attempt: u32,
-    ///Digest of the request, so that a reused key with another body is refused.
+    ///Digest of the request; reuse of the key with another body is refused.
     pub digest: u64,
     pub endpoint: EndpointId,
     pub entry: ::std::net::SocketAddr,
@@ -293,7 +293,7 @@
         value.clone()
     }
 }
-///How an attempt ended.
+///How a claimed attempt ended.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum ClaimOutcome {
@@ -311,7 +311,7 @@
         Self::Done(value)
     }
 }
-///Names a claim.
+///Identifies a claim.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -349,13 +349,13 @@
 #[serde(deny_unknown_fields)]
 pub struct Class {
     pub answer_percentile_permille: u32,
-    ///Answer time aimed at, at the percentile below; 0 for batch.
+    ///Target for the answer time at `answer_percentile_permille`; 0 for batch.
     pub answer_target_ms: u32,
-    ///Longest deadline that a quick request may ask for.
+    ///Longest deadline that a quick request may set.
     pub deadline_max_ms: u32,
-    ///Evictions of this class's tasks accepted per hour, over all its tasks.
+    ///Evictions allowed per hour, over all tasks of the class.
     pub evictions_per_hour: u32,
-    ///Time from acceptance within which a job should finish; 0 for none.
+    ///Target for the time from acceptance to the end of a job; 0 for none.
     pub finish_target_ms: u64,
     pub kind: ClassKind,
     pub name: ::compact_str::CompactString,
@@ -367,7 +367,7 @@
         value.clone()
     }
 }
-///What a class of work is.
+///The kind of a class of work.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum ClassKind {
@@ -439,7 +439,7 @@
         value.clone()
     }
 }
-///Ends a session; its tasks become lost.
+///Ends a session; its tasks are then lost.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -565,7 +565,7 @@
         value.clone()
     }
 }
-///One change of configuration.
+///One change to the configuration.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum ConfigChange {
@@ -589,7 +589,7 @@
         Self::PutClass(value)
     }
 }
-///Asks a process that is ahead for its configuration.
+///Requests the configuration of a process that has a newer one.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -601,7 +601,7 @@
         value.clone()
     }
 }
-///The whole accepted configuration at one revision.
+///The complete accepted configuration at one revision.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -615,12 +615,12 @@
         value.clone()
     }
 }
-///A compare-and-set change of the configuration.
+///A compare-and-set change to the configuration.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigureCommand {
-    ///The revision that the operator saw.
+    ///Revision that the change is based on.
     pub based_on: Revision,
     pub change: ConfigChange,
     ///The operator's idempotency key; a resend gets the first answer.
@@ -645,7 +645,7 @@
         value.clone()
     }
 }
-///Asks control for an operation.
+///Requests an operation from a control process.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -693,7 +693,7 @@
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CreateWatchCommand {
-    ///Events kept; set by the leader from its settings.
+    ///Maximum number of events kept; set by the leader from its settings.
     pub events_max: u32,
     pub key: ::compact_str::CompactString,
     pub subject: ::compact_str::CompactString,
@@ -717,7 +717,7 @@
         value.clone()
     }
 }
-///An endpoint as entries know it.
+///An endpoint as listed for entries.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -734,13 +734,13 @@
         value.clone()
     }
 }
-///A change of the directory of endpoints.
+///A change to the directory of endpoints.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DirectoryUpdate {
     pub endpoints: ::std::vec::Vec<DirectoryEndpoint>,
-    ///The leader's term; versions compare within it only.
+    ///The leader's term; versions are comparable only within a term.
     pub epoch: u64,
     pub gone: ::std::vec::Vec<EndpointId>,
     pub version: u64,
@@ -752,7 +752,7 @@
         value.clone()
     }
 }
-///Marks a VM as draining or not.
+///Sets or clears the draining flag of a VM.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -765,7 +765,7 @@
         value.clone()
     }
 }
-///An end that a worker lists.
+///A run end that a worker lists.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -778,7 +778,7 @@
         value.clone()
     }
 }
-///One endpoint announced under an agent's session.
+///An endpoint announced in an agent's session.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -791,7 +791,7 @@
         value.clone()
     }
 }
-///Tells entries that an endpoint takes no new work.
+///Notifies entries that an endpoint accepts no new requests.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -808,7 +808,7 @@
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointReport {
-    ///Tail of the answers since the last report; 0 for none.
+    ///99th percentile of answer times since the last report; 0 for none.
     pub answer_p99_ms: u32,
     pub class: ::compact_str::CompactString,
     pub leaving: bool,
@@ -820,7 +820,7 @@
         value.clone()
     }
 }
-///A lifetime of a worker announces itself.
+///Registers a worker incarnation.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -828,7 +828,7 @@
     pub capacity: Resources,
     pub kind: ::compact_str::CompactString,
     pub name: ::compact_str::CompactString,
-    ///The node process beside it.
+    ///Address of the node process beside the worker.
     pub node: ::std::net::SocketAddr,
     pub rack: ::compact_str::CompactString,
     pub service: ::compact_str::CompactString,
@@ -862,12 +862,12 @@
         Self::Members(value)
     }
 }
-///An entry's report, and its question for news.
+///An entry's report and request for updates.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryHeartbeat {
-    ///Random number of the entry's process, so that it knows answers to an earlier run.
+    ///Random number of the entry's process, to detect replies to an earlier one.
     pub boot: u64,
     pub directory_epoch: u64,
     pub directory_version: u64,
@@ -888,7 +888,7 @@
 #[serde(deny_unknown_fields)]
 pub struct EntryHeartbeatReply {
     pub boot: u64,
-    ///The configuration in force, for an entry that is behind.
+    ///The configuration in force, if the entry's is older.
     pub configuration: ::std::option::Option<Configuration>,
     pub directory: ::std::option::Option<DirectoryUpdate>,
 }
@@ -910,7 +910,7 @@
         value.clone()
     }
 }
-///The closed list of error kinds.
+///All kinds of errors.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum ErrorKind {
@@ -1116,14 +1116,14 @@
         value.parse()
     }
 }
-///Takes an availability zone out of use, or back into it.
+///Evacuates an availability zone or puts it back into use.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EvacuateRequest {
-    ///Revision that the change is made on, once it was read; a late copy of an earlier request is told by it.
+    ///Revision of the zone list that the change is based on, once it was read; identifies late copies of earlier requests.
     pub based_on: ::std::option::Option<u64>,
-    ///Who asks, for people who read the list.
+    ///Name of the requester, for readers of the list.
     pub by: ::compact_str::CompactString,
     pub evacuated: bool,
     pub zone: ::compact_str::CompactString,
@@ -1133,7 +1133,7 @@
         value.clone()
     }
 }
-///Takes an availability zone out of use, or back into it, if no other such change came between.
+///Evacuates an availability zone or puts it back into use, unless another change came since `based_on`.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -1148,7 +1148,7 @@
         value.clone()
     }
 }
-///An availability zone out of use: nothing is begun there, what runs goes on.
+///An evacuated availability zone: no task starts there, running tasks continue.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -1163,7 +1163,7 @@
         value.clone()
     }
 }
-///All zones out of use, and the number of changes so far.
+///All evacuated zones, and the number of changes so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -1184,7 +1184,7 @@
     pub attempt: u32,
     pub body: ::serde_bytes::ByteBuf,
     pub class: ::compact_str::CompactString,
-    ///Time left when it was sent.
+    ///Time left until the deadline at sending.
     pub deadline_ms: u32,
     pub endpoint: EndpointId,
     pub idempotent: bool,
@@ -1198,7 +1198,7 @@
         value.clone()
     }
 }
-///How an attempt stands.
+///The state or the outcome of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum ExecuteOutcome {
@@ -1228,7 +1228,7 @@
         Self::Failed(value)
     }
 }
-///Answers an execution or a question about its outcome.
+///Answers an `Execute` or an `OutcomeQuery`.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -1244,14 +1244,14 @@
         value.clone()
     }
 }
-///Forgets what has been kept long enough.
+///Deletes data whose retention period is over.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExpireCommand {
-    ///Claims settled, and events published, before.
+    ///Claims settled and keys of events published before this time are deleted.
     pub claims_before_ms: u64,
-    ///Jobs that finished before, and VMs gone since before.
+    ///Jobs finished and VMs gone before this time are deleted.
     pub jobs_before_ms: u64,
 }
 impl ::std::convert::From<&ExpireCommand> for ExpireCommand {
@@ -1259,12 +1259,12 @@
         value.clone()
     }
 }
-///What a filler is to its neighbours.
+///Image and CPU use of a filler.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FillerRole {
-    ///Processor that it uses at full speed.
+    ///CPU use at full speed.
     pub cpu_millicores: u32,
     pub image: ::compact_str::CompactString,
 }
@@ -1273,7 +1273,7 @@
         value.clone()
     }
 }
-///Processor that fillers of an image used, over the time that tails are read in.
+///CPU that fillers of an image used within the time over which tail latencies are measured.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -1286,7 +1286,7 @@
         value.clone()
     }
 }
-///Ends that a worker listed up to a cursor.
+///Records the ends that a worker listed up to a cursor.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -1316,7 +1316,7 @@
         value.clone()
     }
 }
-///What a core of a filler takes from a serving task, by their images.
+///Cost of one filler core to a serving task, by their images.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -1330,7 +1330,7 @@
         value.clone()
     }
 }
-///An accepted job.
+///Confirms an accepted job.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -1399,7 +1399,7 @@
         self.0.fmt(f)
     }
 }
-///Names a job of a team.
+///Identifies a job of a team.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -1412,20 +1412,20 @@
         value.clone()
     }
 }
-///What a caller declares of a job.
+///A job as its caller declares it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobSpec {
     pub class: ::compact_str::CompactString,
-    ///Declared run time of one task; often far off.
+    ///Declared run time of one task; often inaccurate.
     pub declared_run_ms: u64,
-    ///The kind of work, by which run times are learned.
+    ///Kind of work, by which run times are learned.
     pub kind: ::compact_str::CompactString,
     pub payload: ::compact_str::CompactString,
-    ///Need of one task.
+    ///Resources that one task needs.
     pub resources: Resources,
-    ///What the job is about; watches match it.
+    ///Subject of the job, which watches match.
     pub subject: ::compact_str::CompactString,
     pub tasks: u32,
 }
@@ -1434,7 +1434,7 @@
         value.clone()
     }
 }
-///How busy an endpoint is.
+///Current load of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -1455,7 +1455,7 @@
     pub body: EntryBody,
     pub index: u64,
     pub term: u64,
-    ///Clock of the leader, never falling along the log; the state's only clock.
+    ///The leader's clock, never decreasing along the log; the state's only clock.
     pub time_ms: u64,
 }
 impl ::std::convert::From<&LogEntry> for LogEntry {
@@ -1476,7 +1476,7 @@
         value.clone()
     }
 }
-///A change of the group's membership.
+///A change to the group's membership.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum MemberChange {
@@ -1494,7 +1494,7 @@
         Self::Add(value)
     }
 }
-///Identity of one control member's disk, made once when its data folder is initialised.
+///Identity of a control member's disk, created once when its data folder is initialised.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(transparent)]
@@ -1708,32 +1708,32 @@
         Self(value)
     }
 }
-///Answers a report: lease, cursor and orders.
+///Answers a node's report with a lease, a cursor and orders.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeGrant {
     pub acked_cursor: u64,
-    ///What the orders were made for.
+    ///Worker capacity that the orders are based on.
     pub capacity: Resources,
     ///Costs of the images that run on the worker or are ordered there.
     pub costs: ::std::vec::Vec<ImageCost>,
-    ///Whether orders lists every run that is to begin.
+    ///Whether `orders` lists every run that is to start.
     pub is_complete: bool,
     pub lease_ms: u64,
     pub members: ::std::vec::Vec<::std::net::SocketAddr>,
     pub number: u64,
     pub orders: ::std::vec::Vec<RunOrder>,
-    ///Echo of the clock in the report, from which the lease counts; 0 grants none.
+    ///`sent_ms` of the report, from which the lease counts; 0 grants none.
     pub sent_ms: u64,
-    ///Rises with each grant for one enrolment, so that a late one is known as such.
+    ///Rises with each grant for one registration, to detect late grants.
     pub sequence: u64,
-    ///Pools of workers that the configuration names; a worker of another one is not for use.
+    ///Worker pools that the configuration names; workers of others must not be used.
     pub services: ::std::vec::Vec<::compact_str::CompactString>,
     pub term: u64,
-    ///Token for calls of the worker; rises with the term and with each enrolment.
+    ///Fencing token for calls to the worker; rises with the term and with each registration.
     pub token: u64,
-    ///Lifetime that the orders are for.
+    ///Name of the worker incarnation that the orders are for.
     pub worker: ::compact_str::CompactString,
 }
 impl ::std::convert::From<&NodeGrant> for NodeGrant {
@@ -1741,7 +1741,7 @@
         value.clone()
     }
 }
-///A node reports to the leader and asks for its lease.
+///A node's report to the leader and request for a lease.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -1750,7 +1750,7 @@
     pub node: ::std::net::SocketAddr,
     pub number: u64,
     pub sent_ms: u64,
-    ///What is known of the worker beside it, if anything.
+    ///The worker beside the node, if it is known.
     pub workers: ::std::vec::Vec<WorkerReport>,
 }
 impl ::std::convert::From<&NodeReport> for NodeReport {
@@ -1758,15 +1758,15 @@
         value.clone()
     }
 }
-///Which ends a worker knows to be taken note of, by the cursors of its list. Where its lease ran out before, they are not, and never will be.
+///Run ends that a worker knows to be recorded, by the cursors of its list. Ends whose acknowledgement came after the worker's lease ran out are not recorded, and never will be.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct NotedEnds {
-    ///Ends after this one, up to 'lapsed_cursor', came before the worker's lease last ran out.
+    ///Ends after this cursor, up to `lapsed_cursor`, precede the worker's last lease expiry.
     pub lapsed_after_cursor: u64,
     pub lapsed_cursor: u64,
-    ///Ends up to here were acknowledged to the worker.
+    ///Ends up to this cursor were acknowledged to the worker.
     pub noted_cursor: u64,
 }
 impl ::std::convert::From<&NotedEnds> for NotedEnds {
@@ -1792,7 +1792,7 @@
         value.clone()
     }
 }
-///An operation that a client of control asks for.
+///An operation that a client requests from a control process.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum Operation {
@@ -1832,7 +1832,7 @@
         Self::Evacuate(value)
     }
 }
-///Asks what became of an attempt; an attempt not seen by then never runs.
+///Asks for the outcome of an attempt; an attempt not seen by then never runs.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -1892,7 +1892,7 @@
         Self::View(value)
     }
 }
-///A queue for workflows, found by host and path.
+///A queue for workflows, selected by host and path.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -1904,12 +1904,12 @@
     ///Whether its tasks need tickets of a policy service, which are not served yet.
     pub needs_ticket: bool,
     pub path_prefix: ::compact_str::CompactString,
-    ///0 comes first.
+    ///Priority; 0 is the highest.
     pub priority: u32,
     pub service: ::compact_str::CompactString,
-    ///Share of the longest chain of work within which a workflow should complete.
+    ///Completion target in percent of the workflow's longest chain of work; `target_ms` is added.
     pub stretch_percent: u32,
-    ///Added to that.
+    ///Constant part of the completion target.
     pub target_ms: u64,
     ///Longest time for one request.
     pub timeout_ms: u64,
@@ -1919,7 +1919,7 @@
         value.clone()
     }
 }
-///The queues in force; the highest version wins.
+///The configuration of the queues; the highest version is in force.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -1927,7 +1927,7 @@
     ///The document as the operator sent it.
     pub document: ::serde_bytes::ByteBuf,
     pub queues: ::std::vec::Vec<Queue>,
-    ///Pools of workers that queues may name.
+    ///Worker pools that queues may name.
     pub services: ::std::vec::Vec<::compact_str::CompactString>,
     pub version: u64,
 }
@@ -2002,14 +2002,14 @@
         value.clone()
     }
 }
-///An error told to a client.
+///An error returned to a client.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Refusal {
     pub detail: ::compact_str::CompactString,
     pub kind: ErrorKind,
-    ///When to come back; 0 where that would not help.
+    ///Time after which to retry; 0 if a retry would not help.
     pub retry_after_ms: u64,
 }
 impl ::std::convert::From<&Refusal> for Refusal {
@@ -2017,7 +2017,7 @@
         value.clone()
     }
 }
-///Why a worker refused a run for good.
+///Why a worker refused a run permanently.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum RefusalCause {
@@ -2083,7 +2083,7 @@
         value.parse()
     }
 }
-///A run that the worker refused and will not begin.
+///A run that the worker refused and will not start.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -2096,7 +2096,7 @@
         value.clone()
     }
 }
-///What a successful operation answers.
+///The answer to a successful operation.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum Reply {
@@ -2143,7 +2143,7 @@
         Self::Document(value)
     }
 }
-///A quick request's identity, unique over restarts of entries.
+///Identity of a quick request, unique across restarts of entries.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -2156,7 +2156,7 @@
         value.clone()
     }
 }
-///A worker has more or less than before.
+///Changes the capacity of a worker.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -2169,7 +2169,7 @@
         value.clone()
     }
 }
-///An amount of processor, memory and accelerators.
+///An amount of CPU, memory and accelerators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -2183,7 +2183,7 @@
         value.clone()
     }
 }
-///A configuration revision: the log index of the change that made it.
+///A configuration revision: the log index of the change that created it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(transparent)]
@@ -2238,7 +2238,7 @@
         self.0.fmt(f)
     }
 }
-///The role of a process towards its peers.
+///The role of a process as its peers see it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum Role {
@@ -2342,7 +2342,7 @@
         Self::Role(value)
     }
 }
-///How a run ended. 'crashed' stands for one whose worker crashed, 'crashed_unseen' for one that may have begun there and was not seen to run, 'lapsed' for one whose worker was lost otherwise.
+///How a run ended. `crashed`: its worker crashed; `crashed_unseen`: it may have begun on a worker that crashed, but was not seen running; `lapsed`: its worker was lost otherwise.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum RunOutcome {
@@ -2437,7 +2437,7 @@
         value.clone()
     }
 }
-///One run of a task; run numbers begin at 1 and rise with each start.
+///One run of a task; run numbers begin at 1 and increase with each start.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -2450,7 +2450,7 @@
         value.clone()
     }
 }
-///Tells what a run is.
+///Notifies a node of the role of a run.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -2469,7 +2469,7 @@
 #[serde(deny_unknown_fields)]
 pub struct RunningTask {
     pub checkpoint: ::compact_str::CompactString,
-    ///Tail latency in ms of a task that serves, else millicores in use.
+    ///Tail latency in ms of a serving task, else CPU use in millicores.
     pub load: u32,
     pub progress_percent: u32,
     pub run: RunRef,
@@ -2479,13 +2479,13 @@
         value.clone()
     }
 }
-///What a task that serves is to its neighbours.
+///Image and latency bound of a serving task.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServingRole {
     pub image: ::compact_str::CompactString,
-    ///Bound of its tail latency.
+    ///Upper bound for the tail latency.
     pub target_ms: u64,
 }
 impl ::std::convert::From<&ServingRole> for ServingRole {
@@ -2493,7 +2493,7 @@
         value.clone()
     }
 }
-///Why a session ended.
+///The reason why a session ended.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum SessionEnd {
@@ -2555,7 +2555,7 @@
         value.parse()
     }
 }
-///One run of an agent: the log index of the command that opened it, so newer sessions are larger.
+///One run of an agent: the log index of the command that opened it, so newer sessions have higher ids.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(transparent)]
@@ -2610,7 +2610,7 @@
         self.0.fmt(f)
     }
 }
-///A granted session.
+///Confirms an opened session.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -2696,14 +2696,14 @@
         value.clone()
     }
 }
-///Failures that were taken in are settled, by what their workers know of them.
+///Settles recorded failures by whether their workers learned of the record.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SettleFailures {
-    ///These are attempts.
+    ///Failures that count as attempts.
     pub counted: ::std::vec::Vec<RunRef>,
-    ///These are not: the worker's lease ran out before it knew.
+    ///Failures that do not count: the worker's lease ran out before it learned of the record.
     pub lapsed: ::std::vec::Vec<RunRef>,
 }
 impl ::std::convert::From<&SettleFailures> for SettleFailures {
@@ -2711,12 +2711,12 @@
         value.clone()
     }
 }
-///A piece of a snapshot for a member far behind.
+///Part of a snapshot for a member that is far behind.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SnapshotChunk {
-    ///Of the whole snapshot.
+    ///Checksum of the whole snapshot.
     pub checksum: u32,
     pub data: ::serde_bytes::ByteBuf,
     pub index: u64,
@@ -2752,7 +2752,7 @@
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct StartCommand {
-    ///The incarnation that this start makes, one above the task's last.
+    ///Task incarnation that this start makes, one above the last.
     pub incarnation: u32,
     pub session: SessionId,
     pub task: TaskId,
@@ -2778,13 +2778,13 @@
         value.clone()
     }
 }
-///A kept answer to a non-idempotent request.
+///The stored answer to a non-idempotent request.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoredAnswer {
     pub body: ::compact_str::CompactString,
-    ///Whether the body was small enough to keep.
+    ///Whether the body was small enough to be stored.
     pub body_kept: bool,
     pub content_type: ::compact_str::CompactString,
     pub status: u16,
@@ -2823,7 +2823,7 @@
         value.clone()
     }
 }
-///What an agent is to do with a task's incarnation.
+///What an agent must do with a task incarnation.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum TaskAction {
@@ -2848,7 +2848,7 @@
         Self::Throttle(value)
     }
 }
-///What happened to a task's incarnation.
+///An event of a task incarnation.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum TaskEvent {
@@ -2875,7 +2875,7 @@
         Self::Evicted(value)
     }
 }
-///Reports an event of one incarnation of a task.
+///Records an event of a task incarnation.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -2944,7 +2944,7 @@
         self.0.fmt(f)
     }
 }
-///An order on one incarnation of a task.
+///An order for a task incarnation.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -2958,7 +2958,7 @@
         value.clone()
     }
 }
-///A task's phase as its agent sees it.
+///The phase of a task as its agent reports it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum TaskPhase {
@@ -3056,7 +3056,7 @@
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TaskReport {
-    ///Result, checkpoint or failure, by phase.
+    ///Result, checkpoint or failure, depending on the phase.
     pub detail: ::compact_str::CompactString,
     pub incarnation: u32,
     pub phase: TaskPhase,
@@ -3068,7 +3068,7 @@
         value.clone()
     }
 }
-///What a task is to its neighbours.
+///How a task takes part in the throttling of fillers.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum TaskRole {
@@ -3091,7 +3091,7 @@
         Self::Filler(value)
     }
 }
-///All that an agent needs to start a task.
+///Everything that an agent needs to start a task.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -3108,7 +3108,7 @@
         value.clone()
     }
 }
-///The state of a task, as control keeps it.
+///The state of a task in the replicated state.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum TaskState {
@@ -3203,11 +3203,11 @@
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    ///Jobs accepted and not finished that the team may hold.
+    ///Maximum number of unfinished jobs of the team.
     pub jobs_open_max: u32,
     pub name: ::compact_str::CompactString,
     pub quota: Resources,
-    ///Quick requests of the team in one entry at a time.
+    ///Maximum number of quick requests of the team in flight per entry.
     pub requests_in_flight_max: u32,
 }
 impl ::std::convert::From<&Team> for Team {
@@ -3215,7 +3215,7 @@
         value.clone()
     }
 }
-///Tells a caught-up voter to stand for election at once.
+///Tells a caught-up voter to start an election at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -3227,12 +3227,12 @@
         value.clone()
     }
 }
-///Measured usage of a VM.
+///Measured resource usage of a VM.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Usage {
-    ///How old the worker's measurement is.
+    ///Age of the worker's measurement.
     pub age_ms: u32,
     pub cpu_millicores: u32,
     pub memory_mib: u32,
@@ -3242,7 +3242,7 @@
         value.clone()
     }
 }
-///Sets the operator's and the scheduler's marks on a VM.
+///Sets the draining and quarantine flags of a VM.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -3311,7 +3311,7 @@
         self.0.fmt(f)
     }
 }
-///Runs that were never begun and never will be.
+///Voids runs that never began and never will.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -3338,7 +3338,7 @@
         value.clone()
     }
 }
-///Asks for a vote, or whether one would be given.
+///Requests a vote, or asks whether it would be granted (`pre_vote`).
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -3347,7 +3347,7 @@
     pub last_term: u64,
     pub pre_vote: bool,
     pub term: u64,
-    ///Whether the leader itself asked for this election.
+    ///Whether the leader itself requested this election.
     pub transfer: bool,
 }
 impl ::std::convert::From<&VoteRequest> for VoteRequest {
@@ -3439,7 +3439,7 @@
         value.clone()
     }
 }
-///One lifetime of a worker, numbered when it is enrolled.
+///A worker incarnation, numbered when it registers.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(transparent)]
@@ -3494,7 +3494,7 @@
         self.0.fmt(f)
     }
 }
-///What a node knows of its worker.
+///The state of a worker as its node knows it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -3502,9 +3502,9 @@
     pub capacity: Resources,
     pub draining: bool,
     pub ended: ::std::vec::Vec<EndedRun>,
-    ///What fillers used that have ended within the time over which tails are read.
+    ///CPU used by fillers that ended within the time over which tail latencies are measured.
     pub faded: ::std::vec::Vec<FillerUse>,
-    ///It has left for good.
+    ///Whether the worker has left permanently.
     pub gone: bool,
     pub kind: ::compact_str::CompactString,
     pub name: ::compact_str::CompactString,
@@ -3512,11 +3512,11 @@
     pub rack: ::compact_str::CompactString,
     pub refused: ::std::vec::Vec<RefusedRun>,
     pub remaining_ms: u64,
-    ///The node does not know what some runs are.
+    ///Whether the node lacks the role of a listed run.
     pub roles_missing: bool,
     pub running: ::std::vec::Vec<RunningTask>,
     pub service: ::compact_str::CompactString,
-    ///Term of the leader under which the lists were read; 0 before.
+    ///Term of the leader under which the lists were read; 0 if none were read.
     pub term: u64,
     pub zone: ::compact_str::CompactString,
 }
@@ -3525,13 +3525,13 @@
         value.clone()
     }
 }
-///Answers a call.
+///Answers a `WorkflowCall`.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkflowAnswer {
     pub id: u64,
-    ///Where the members of the control group are.
+    ///Addresses of the members of the control group.
     pub members: ::std::vec::Vec<::std::net::SocketAddr>,
     pub outcome: WorkflowOutcome,
 }
@@ -3540,7 +3540,7 @@
         value.clone()
     }
 }
-///A request on its way to the leader.
+///A request forwarded to the leader.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -3554,7 +3554,7 @@
         value.clone()
     }
 }
-///A change of the workflows.
+///A change to the replicated state of workflows.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum WorkflowCommand {
@@ -3697,7 +3697,7 @@
         self.0.fmt(f)
     }
 }
-///The answer to a request.
+///The outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum WorkflowOutcome {
@@ -3748,7 +3748,7 @@
         Self::Evacuations(value)
     }
 }
-///Where a workflow stands.
+///The phase of a workflow.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum WorkflowPhase {
@@ -3818,7 +3818,7 @@
         value.parse()
     }
 }
-///What a client or operator asks.
+///A request of a client or operator.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 pub enum WorkflowRequest {
@@ -3851,7 +3851,7 @@
         Self::Evacuate(value)
     }
 }
-///What a client submits.
+///A workflow as its client submits it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -3859,9 +3859,9 @@
     ///Time of day of the first occurrence.
     pub first_run_ms: u64,
     pub interval_ms: u64,
-    ///Passed on to the worker unread.
+    ///Opaque payload for the worker.
     pub payload: ::compact_str::CompactString,
-    ///Occurrences; 0 is one, at once.
+    ///Number of occurrences; 0 for one, at once.
     pub repeat_count: u32,
     pub steps: ::std::vec::Vec<WorkflowStep>,
 }
@@ -3870,42 +3870,42 @@
         value.clone()
     }
 }
-///A step of a workflow: tasks that need the same.
+///A step of a workflow: tasks with the same requirements.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkflowStep {
-    ///Earlier steps that must be done first.
+    ///Indexes of earlier steps that must complete first.
     pub after: ::std::vec::Vec<u32>,
-    ///Saves progress as it runs.
+    ///Whether the tasks save checkpoints as they run.
     pub checkpoints: bool,
-    ///Tasks of the step.
+    ///Number of tasks.
     pub count: u32,
-    ///Rack that holds the data, or empty.
+    ///Rack that holds the data; empty for none.
     pub data_rack: ::compact_str::CompactString,
-    ///Copies of a task may run at once.
+    ///Whether copies of a task may run at once.
     pub duplicates: bool,
-    ///Declared run time of a task; often far off.
+    ///Declared run time of a task; often inaccurate.
     pub estimate_ms: u64,
-    ///Uses only capacity that other tasks leave unused.
+    ///Whether the tasks are best-effort (fillers): they use only capacity that other tasks leave idle.
     pub filler: bool,
-    ///All tasks run together or not at all.
+    ///Whether all tasks must run together or not at all.
     pub gang: bool,
-    ///What the tasks run; equal images behave alike.
+    ///Image that the tasks run; equal images behave alike.
     pub image: ::compact_str::CompactString,
-    ///Runs until the workflow is cancelled.
+    ///Whether the tasks are long-running: they run until the workflow is cancelled.
     pub lasting: bool,
-    ///What one task reserves.
+    ///Resources that one task reserves.
     pub need: Resources,
-    ///Most tasks of the step on one worker; 0 is no limit.
+    ///Maximum number of tasks of the step on one worker; 0 for no limit.
     pub per_worker_max: u32,
-    ///Kind that the worker must have, or empty.
+    ///Required worker kind; empty for any.
     pub required_label: ::compact_str::CompactString,
-    ///A gang that is slow across racks.
+    ///Whether the gang runs slowly across racks.
     pub same_rack: bool,
-    ///Bound on the tail latency of a task that serves; 0 is none.
+    ///Upper bound for the tail latency of a serving task; 0 for none.
     pub tail_target_ms: u64,
-    ///Tasks that may be away at once by our doing; 0 is no promise.
+    ///Maximum number of tasks that the scheduler may make unavailable at once; 0 for no guarantee.
     pub unavailable_max: u32,
 }
 impl ::std::convert::From<&WorkflowStep> for WorkflowStep {
@@ -3913,7 +3913,7 @@
         value.clone()
     }
 }
-///A workflow and the place that its client names.
+///A workflow with its host and path.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -3926,7 +3926,7 @@
         value.clone()
     }
 }
-///The place that a client names.
+///Host and path that a client names.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
--- a/src/schema/settings.rs
+++ b/src/schema/settings.rs
@@ -37,25 +37,25 @@
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    ///Accelerators of the VM.
+    ///Number of accelerators of the VM.
     pub accelerators: u32,
-    ///Silence after which an endpoint that announced itself is taken as gone.
+    ///Silence after which an announced endpoint is considered gone.
     pub announce_max_ms: u32,
-    ///Processors of the VM.
+    ///CPU capacity of the VM.
     pub cpu_millicores: u32,
     ///Interval of reports to control.
     pub heartbeat_ms: u32,
-    ///Address where endpoints of this VM announce themselves.
+    ///Address at which endpoints of this VM announce themselves.
     pub listen: ::std::net::SocketAddr,
-    ///Memory of the VM.
+    ///Memory capacity of the VM.
     pub memory_mib: u32,
-    ///Quick requests that may wait for one endpoint.
+    ///Maximum number of quick requests queued for one endpoint.
     pub queue_max: u32,
-    ///Request ids remembered, so that none runs twice.
+    ///Maximum number of request attempts remembered, so that none runs twice; more are refused.
     pub seen_max: u32,
-    ///How long a request id is remembered.
+    ///Time for which an ended non-idempotent request attempt is remembered.
     pub seen_ms: u32,
-    ///Threads that call endpoints; no more requests than these run at once.
+    ///Threads that call endpoints, and so the most requests that run at once.
     pub threads: u32,
     ///Name of the VM, unique in the installation.
     pub vm: ::compact_str::CompactString,
@@ -72,45 +72,45 @@
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    ///How long a settled claim answers resends.
+    ///Time for which a settled claim answers resends.
     pub claim_retention_ms: u64,
-    ///Claims of idempotency keys kept.
+    ///Maximum number of claims of idempotency keys kept.
     pub claims_max: u32,
-    ///Folder for the log and the snapshots; made by aspenrail init.
+    ///Folder of the log and the snapshots; created by `aspenrail init`.
     pub data_folder: ::compact_str::CompactString,
-    ///Least silence of a leader after which a voter stands for election; the most is twice that.
+    ///Minimum silence of the leader after which a voter starts an election; the maximum is twice this.
     pub election_timeout_ms: u32,
     ///Free disk space below which writes are refused.
     pub free_min_bytes: u64,
     ///Interval of a leader's heartbeats.
     pub heartbeat_ms: u32,
-    ///How long a finished job keeps its result.
+    ///Time for which a finished job and its result are kept.
     pub job_retention_ms: u64,
-    ///Jobs kept, finished ones included.
+    ///Maximum number of jobs kept, including finished ones.
     pub jobs_max: u32,
-    ///What is added to a lease before its tasks are placed anew, for clocks that run at different speeds.
+    ///Added to a lease before its tasks are placed again, for clocks that run at different speeds.
     pub lease_margin_ms: u32,
-    ///How long an agent may run tasks after a renewal it asked for.
+    ///Time for which an agent may run tasks, counted from its renewal request.
     pub lease_ms: u32,
     ///Address of the administration API.
     pub listen: ::std::net::SocketAddr,
-    ///File with one line per operator: name = token.
+    ///File with one line per operator: `name = token`.
     pub operators_file: ::compact_str::CompactString,
     ///Time until a quarantined VM is probed with one task.
     pub quarantine_ms: u32,
     ///Log entries after which a snapshot is taken.
     pub snapshot_entries: u32,
-    ///Different VMs on which a task may fail before it goes to the dead letters.
+    ///Different VMs on which a task may fail before it becomes a dead letter.
     pub task_failures_max: u32,
-    ///Tasks kept, finished ones included.
+    ///Maximum number of tasks kept, including finished ones.
     pub tasks_max: u32,
     ///Different tasks in a row that fail on a VM before it is quarantined.
     pub vm_failures_max: u32,
-    ///VMs that may announce themselves.
+    ///Maximum number of VMs that may register.
     pub vms_max: u32,
-    ///Events kept per watch; older ones are told as a gap.
+    ///Maximum number of events kept per watch; a cursor before them is refused as `cursor_too_old`.
     pub watch_events_max: u32,
-    ///Watches kept.
+    ///Maximum number of watches kept.
     pub watches_max: u32,
 }
 impl ::std::convert::From<&ControlSettings> for ControlSettings {
@@ -118,36 +118,36 @@
         value.clone()
     }
 }
-///The dispatch role: a control process for workflows, in a group that keeps its membership by itself.
+///The dispatch role: a control process for workflows, in a group that manages its own membership.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DispatchSettings {
     ///Folder of the log and the snapshots.
     pub data_folder: ::compact_str::CompactString,
-    ///Least silence of the leader after which another stands for election; the most is twice that.
+    ///Minimum silence of the leader after which a voter starts an election; the maximum is twice this.
     pub election_timeout_ms: u32,
-    ///1 while the whole installation starts for the first time, with empty disks: the control addresses of [link] then found the group.
+    ///1 while the whole installation starts for the first time, with empty disks: the control addresses of `[link]` then found the group.
     pub first_start: u32,
-    ///Free space on the disk below which new work is refused.
+    ///Free disk space below which new work is refused.
     pub free_min_bytes: u32,
-    ///Interval of the leader's heartbeats to the other members.
+    ///Interval of the leader's heartbeats to other members.
     pub heartbeat_ms: u32,
-    ///Time that a call may take beyond the end of a lease.
+    ///Added to the leader's wait for the end of a lease, for calls under way.
     pub lease_margin_ms: u32,
-    ///Longest lease that workers accept; a longer one is cut down to it.
+    ///Longest lease that workers accept; `lease_ms` is reduced to it.
     pub lease_max_ms: u32,
-    ///Time for which a worker runs on without a word from the leader.
+    ///Time for which a worker runs tasks without a renewal by the leader.
     pub lease_ms: u32,
-    ///Share by which a worker's clock may be slow.
+    ///Percentage by which a worker's clock may be slow; extends the leader's wait for the end of a lease.
     pub lease_slack_percent: u32,
-    ///Control processes that may be lost at once; the group keeps twice that and one voters.
+    ///Control processes that may be lost at once; the group keeps twice that plus one voters.
     pub losses_tolerated: u32,
-    ///Longest pause between two plans.
+    ///Longest pause between two scheduling passes.
     pub plan_interval_ms: u32,
     ///Time for which the state of an ended workflow is kept.
     pub retention_s: u32,
-    ///Silence of a node after which nothing new is placed there.
+    ///Silence of a node after which nothing new is placed on its worker.
     pub silent_ms: u32,
     ///Log entries after which a snapshot is taken.
     pub snapshot_entries: u32,
@@ -162,25 +162,25 @@
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    ///Attempts of one quick request.
+    ///Maximum number of attempts of one quick request.
     pub attempts_max: u32,
     ///Largest request body.
     pub body_max_bytes: u32,
-    ///Largest headers of a request, all together.
+    ///Largest total size of a request's headers.
     pub headers_max_bytes: u32,
-    ///Requests of any sort that may be open in this entry.
+    ///Maximum number of open requests of any kind in this entry; more are refused.
     pub in_flight_max: u32,
     ///Address of the caller API.
     pub listen: ::std::net::SocketAddr,
-    ///Longest time an operation of control is waited for.
+    ///Longest wait for an operation of a control process.
     pub operation_max_ms: u32,
-    ///Longest time a poll of a watch or of a job is held.
+    ///Longest time that a poll of a watch or job is held open.
     pub poll_max_ms: u32,
-    ///Quick requests that may wait in this entry.
+    ///Maximum number of quick requests queued in this entry.
     pub queue_max: u32,
     ///Retries allowed per thousand answers.
     pub retry_budget_permille: u32,
-    ///File with one line per team: name = token.
+    ///File with one line per team: `name = token`.
     pub teams_file: ::compact_str::CompactString,
     ///Threads that read callers' requests and write their answers.
     pub threads: u32,
@@ -190,30 +190,30 @@
         value.clone()
     }
 }
-///The gateway role: takes requests about workflows to the leader.
+///The gateway role: forwards requests about workflows to the leader.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    ///Largest body accepted.
+    ///Largest request body accepted.
     pub body_max_bytes: u32,
-    ///Requests under way before new ones are refused.
+    ///Maximum number of requests in flight; more are refused.
     pub calls_max: u32,
-    ///Pause after an answer that names no leader.
+    ///Pause before a retry after an answer that names no leader.
     pub election_pause_ms: u32,
     ///Longest time that a request waits for an answer.
     pub give_up_ms: u32,
-    ///Largest headers accepted.
+    ///Largest total size of a request's headers.
     pub headers_max_bytes: u32,
-    ///Address of the edge for clients, or for operators beside a control process.
+    ///Address of the API for clients, or for operators beside a control process.
     pub listen: ::std::net::SocketAddr,
-    ///Address of the metrics.
+    ///Address at which metrics are served.
     pub metrics_listen: ::std::net::SocketAddr,
     ///Longest time that a request waits unsent while no leader is known.
     pub park_ms: u32,
-    ///Interval at which a gateway makes sure that it reaches a leader.
+    ///Interval at which the gateway checks that it reaches a leader.
     pub probe_ms: u32,
-    ///Address where a balancer asks whether this process can serve.
+    ///Address at which a load balancer checks whether this process can serve.
     pub readiness_listen: ::std::net::SocketAddr,
     ///Time after which an unanswered request is sent to the next control process.
     pub resend_ms: u32,
@@ -223,22 +223,22 @@
         value.clone()
     }
 }
-///The links between the processes of the system.
+///The links between aspenrail processes.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct LinkSettings {
-    ///Port that is bound where it differs from that of 'listen', as behind a port forwarder; 0 binds that of 'listen'.
+    ///Port to bind if it differs from that of `listen`, as behind a port forwarder; 0 binds that of `listen`.
     pub bind_port: u32,
-    ///Addresses of control processes; a dead one among several is survived.
+    ///Addresses of control processes, separated by commas; one of several may be down.
     pub control: ::std::vec::Vec<::std::net::SocketAddr>,
-    ///Port of the links of control processes, where their addresses name another; 0 takes the addresses as they stand.
+    ///Link port of the control processes, if it differs from those in `control`; 0 uses those.
     pub control_port: u32,
     ///Largest message accepted from a peer.
     pub frame_max_bytes: u32,
-    ///Address where other processes reach this one.
+    ///Address at which other processes reach this one.
     pub listen: ::std::net::SocketAddr,
-    ///Messages waiting for one peer; beyond it they are dropped and counted.
+    ///Maximum number of messages queued for one peer; more are dropped and counted.
     pub queue_messages: u32,
 }
 impl ::std::convert::From<&LinkSettings> for LinkSettings {
@@ -251,25 +251,25 @@
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    ///Time that the worker has to answer a call.
+    ///Time within which the worker must answer a call.
     pub call_timeout_ms: u32,
-    ///Time for which fillers may keep a serving task over its bound; they are halted well before.
+    ///Time for which fillers may keep a serving task over its latency bound; those that slow it are suspended after a quarter of this time, all after half.
     pub harm_max_ms: u32,
-    ///Longest wait of the worker for an end, in one call.
+    ///Longest wait of one call to the worker for the end of a run.
     pub hold_wait_ms: u32,
-    ///Address where the worker announces itself.
+    ///Address at which the worker announces itself.
     pub listen: ::std::net::SocketAddr,
-    ///Address of the metrics.
+    ///Address at which metrics are served.
     pub metrics_listen: ::std::net::SocketAddr,
-    ///Interval of reports to the leader while nothing happens.
+    ///Interval of reports to the leader while nothing changes.
     pub report_ms: u32,
-    ///Pause before an order without an answer is given again.
+    ///Pause before an unanswered order or call to the worker is sent again.
     pub retry_ms: u32,
-    ///The same while fillers work beside tasks that serve.
+    ///Replaces `hold_wait_ms` while best-effort tasks (fillers) run beside serving tasks.
     pub watch_wait_ms: u32,
     ///Address of the worker.
     pub worker: ::std::net::SocketAddr,
-    ///Silence of the worker after which its lease is no longer asked for.
+    ///Silence of the worker after which its lease is no longer renewed.
     pub worker_silent_ms: u32,
 }
 impl ::std::convert::From<&NodeSettings> for NodeSettings {
@@ -277,26 +277,26 @@
         value.clone()
     }
 }
-///What this process is and where it stands.
+///Identity and location of the process.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessSettings {
-    ///Added to the time of day, on a VM whose clock is known to be behind; leases do not depend on it. Read anew on SIGHUP.
+    ///Correction added to the time of day on a VM whose clock is known to be behind; leases do not depend on it. Reloaded on SIGHUP.
     pub clock_ahead_ms: u32,
-    ///Longest time a planned stop waits for work in flight; a second SIGTERM ends it at once.
+    ///Longest time that a planned stop waits for work in flight; a second SIGTERM ends the process at once.
     pub drain_max_ms: u32,
     ///Control group number, part of every identifier.
     pub group: u32,
     ///Least severe level that is logged: error, warn, info, debug or trace.
     pub log_level: ::compact_str::CompactString,
-    ///Name of the process, unique in the installation; shown in logs and status.
+    ///Name of the process, unique in the installation; appears in logs and status.
     pub name: ::compact_str::CompactString,
     ///Rack of the VM.
     pub rack: ::compact_str::CompactString,
     ///Region number, part of every identifier.
     pub region: u32,
-    ///Roles that this process plays, separated by commas.
+    ///Roles of the process, separated by commas.
     pub roles: ::std::vec::Vec<Role>,
     ///Availability zone of the VM.
     pub zone: ::compact_str::CompactString,
@@ -399,7 +399,7 @@
         value.clone()
     }
 }
-///The settings of a process, one definition for each section of its INI file.
+///The settings of a process, one definition per section of its INI file.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(::serde::Deserialize, ::serde::Serialize)]
 #[serde(transparent)]
