--- a/src/policy/contention/images.rs
+++ b/src/policy/contention/images.rs
@@ -1,25 +1,25 @@
-//! Images by small keys, so that decisions compare numbers and not names.
+//! Integer keys for image names, so that decisions compare numbers instead of names.
 
 use std::collections::HashMap;
 
 use crate::prelude::*;
 
-/// Names told apart: many times what an installation runs, and a few hundred KB. Those beyond
-/// share the key of images without a name.
+/// Images with a key of their own: many times what an installation runs, and a few hundred KB.
+/// Further images share the key of the empty name.
 const IMAGES_MAX: usize = 10_000;
 
-/// An image, by its place in a table of names.
+/// The index of an image in an [`ImageTable`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ImageKey(u32);
 
 impl ImageKey {
-    /// Returns its place in tables by key.
+    /// Returns the index in tables that are ordered by key.
     pub fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// The names of images, each with its key.
+/// A mapping between image names and keys.
 #[derive(Clone, Debug)]
 pub struct ImageTable {
     names: Vec<CompactString>,
@@ -28,16 +28,16 @@
 
 impl Default for ImageTable {
     fn default() -> ImageTable {
-        let nameless = CompactString::default();
+        let empty_name = CompactString::default();
         ImageTable {
-            names: vec![nameless.clone()],
-            keys: HashMap::from([(nameless, ImageKey::default())]),
+            names: vec![empty_name.clone()],
+            keys: HashMap::from([(empty_name, ImageKey::default())]),
         }
     }
 }
 
 impl ImageTable {
-    /// Returns the key of a name, which it is given now if it has none.
+    /// Returns the key of a name, and assigns one if it has none.
     pub fn key(&mut self, name: &str) -> ImageKey {
         if let Some(it) = self.keys.get(name) {
             return *it;
@@ -51,7 +51,7 @@
         res
     }
 
-    /// Returns the name of a key; it is empty for images that share one.
+    /// Returns the name of a key, which is empty for the shared key.
     pub fn name(&self, key: ImageKey) -> &CompactString {
         &self.names[key.index()]
     }
--- a/src/policy/contention/mod.rs
+++ b/src/policy/contention/mod.rs
@@ -1,17 +1,19 @@
-//! How much fillers take from tasks that serve, learned while they run.
+//! How much best-effort tasks (fillers) slow down serving tasks, learned online.
 //!
-//! The model is a queue: a tail grows as the inverse of what is left of a server, so the inverse
-//! of the tail falls in proportion to load. [`headroom_percent`] is that inverse, and each core
-//! that a filler uses takes a fixed amount of it, by the pair of images. On the users' VMs the
-//! inverse explains a tail swinging between 13 and 31 ms by load alone to within 3 % (347 half
-//! seconds); shares of the tail itself vary threefold for one pair.
+//! The model is that of a queue: tail latency is inversely proportional to the spare capacity of
+//! a server, so the inverse of the tail falls linearly with load. [`headroom_percent`] is this
+//! inverse. Each core that a filler uses reduces it by a fixed amount, the cost of the pair of
+//! images. On the users' VMs, load alone explains the inverse to within 3 % for a tail that varies
+//! between 13 and 31 ms (347 readings of 0.5 s); relative changes of the tail itself vary
+//! threefold for one pair.
 //!
-//! What counts is the share of a VM that a filler uses: one pair costs the same on VMs of 16, 32
-//! and 64 cores, by share, and four times as much a core on the smallest as on the largest. So
-//! cores are counted as those of a VM of [`REFERENCE_CORES`].
+//! The share of the VM that a filler uses is decisive: the cost of a pair by share is the same on
+//! VMs of 16, 32 and 64 cores, and per core four times as high on the smallest as on the largest.
+//! So cores are converted to those of a VM with [`REFERENCE_CORES`].
 //!
-//! The tasks of one step serve one load, so they share what they have left without fillers; what
-//! one has less than its siblings is its fillers' doing, whatever the load does meanwhile.
+//! The tasks of one step share one load, so they have the same idle headroom (headroom with no
+//! filler beside them). A headroom below that of the sibling tasks is attributed to the fillers
+//! beside the task, even while the load changes.
 
 mod headroom_filter;
 pub mod images;
@@ -28,56 +30,57 @@
     similarity::{CostEstimates, PairObservations},
 };
 
-/// Cores of the VM that costs are told for. A VM of another size counts its own by share.
+/// Size of the VM that costs refer to. Cores of a VM of another size are converted by share.
 pub const REFERENCE_CORES: f64 = 64.0;
 
-/// Pairs handed on to the next leader: some 20 KB in the log.
-const KNOWN_MAX: usize = 1_000;
+/// Pairs whose costs are passed to the next leader: about 20 KB in the log.
+const KNOWN_PAIRS_MAX: usize = 1_000;
 
-/// How rough one reading of a headroom is, as a share of it (standard deviation): tails come in
-/// whole milliseconds, and sibling tasks differ by 3 % of their load.
-const READING_DEVIATION: f64 = 0.1;
+/// Standard deviation of one reading, as a share of the headroom: tails are reported in whole
+/// milliseconds, and the loads of sibling tasks differ by 3 %.
+const READING_DEVIATION_SHARE: f64 = 0.1;
 
-/// Time over which a tail is read: a reading that follows another sooner says as much less.
-const READ_MS: u64 = 500;
+/// Time over which a tail is measured. The variance of a reading that overlaps the previous one
+/// is increased accordingly.
+const READING_WINDOW_MS: u64 = 500;
 
-/// Least time between two readings of a task that are taken for two.
-const READ_MIN_MS: u64 = 50;
+/// Interval between readings below which the variance is not increased further.
+const READING_INTERVAL_MIN_MS: u64 = 50;
 
-/// Part of the roughness of a reading that doesn't shrink with the headroom, in percent.
-const ROUGH_MIN_PERCENT: f64 = 5.0;
+/// Part of a reading's standard deviation that is independent of the headroom, in percent.
+const READING_DEVIATION_MIN_PERCENT: f64 = 5.0;
 
-/// Share of what they reserve that serving tasks use in the mean on the users' VMs.
+/// Mean share of their reserved processors that serving tasks use on the users' VMs.
 pub const MEAN_CPU_USE_SHARE: f64 = 0.45;
 
-/// Headroom is cut at this: a service that is idle says little of one at work.
+/// Upper limit of the headroom: readings of an idle service say little about a loaded one.
 const HEADROOM_MAX_PERCENT: f64 = 1_000.0;
 
-/// Headroom of a service that is over its bound, and works off a queue for some time after.
-const OVERLOADED_PERCENT: f64 = 100.0;
+/// Headroom below which a service is over its bound, and builds up a queue.
+const BOUND_PERCENT: f64 = 100.0;
 
-/// Time for which its readings then tell of the queue, and not of load and fillers.
-const QUEUE_MS: u64 = 1_000;
+/// Time after an overload in which readings reflect the queue instead of load and fillers.
+const QUEUE_DRAIN_MS: u64 = 1_000;
 
-/// Time after which a task that is not read is forgotten.
-const READING_KEPT_MS: u64 = 30_000;
+/// Time after which a task without readings may be removed.
+const READING_RETENTION_MS: u64 = 30_000;
 
-/// Interval at which images are compared anew: reports come no more often.
-const COMPARED_MS: u64 = 250;
+/// Interval between comparisons of images; reports do not arrive more often.
+const COMPARISON_INTERVAL_MS: u64 = 250;
 
-/// Images that serve, and of fillers, that are compared: 0.8 ms each time, 0.3 % of a core. Nine of
-/// each take 0.02 ms.
-const COMPARED_MAX: usize = 32;
+/// Serving images, and filler images, that are compared. One comparison takes 0.8 ms, 0.3 % of a
+/// core; with nine images of each kind it takes 0.02 ms.
+const COMPARED_IMAGES_MAX: usize = 32;
 
-/// Tasks and images that serve remembered.
-const REMEMBERED_MAX: usize = 10_000;
+/// Serving tasks, and serving images, that are kept.
+const TRACKED_MAX: usize = 10_000;
 
-/// Returns what a service has left: 100 at its bound, 200 with half the tail of its bound.
+/// Returns the headroom of a service: 100 if its tail is at its bound, 200 if it is at half of it.
 pub fn headroom_percent(tail_ms: u32, target_ms: u64) -> f64 {
     (target_ms as f64 * 100.0 / f64::from(tail_ms.max(1))).min(HEADROOM_MAX_PERCENT)
 }
 
-/// A task that serves, as reported.
+/// A reported serving task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServingTask {
     pub run: RunRef,
@@ -85,69 +88,68 @@
     pub headroom_percent: f64,
 }
 
-/// A filler beside it.
+/// A filler beside a serving task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FillerLoad {
     pub image: ImageKey,
-    /// Processor that it uses, or would, as of a VM of [`REFERENCE_CORES`].
+    /// Cores that it uses or would use, converted to a VM with [`REFERENCE_CORES`].
     pub cores: f64,
 }
 
-/// Returns processor of a VM as cores of one of [`REFERENCE_CORES`].
+/// Converts processors of a VM to cores of a VM with [`REFERENCE_CORES`].
 pub fn reference_cores(millicores: u32, capacity_millicores: u32) -> f64 {
     f64::from(millicores) / f64::from(capacity_millicores.max(1)) * REFERENCE_CORES
 }
 
-/// When a task that serves was read.
+/// Times of the last readings of a serving task.
 #[derive(Clone, Copy, Debug, Default)]
-struct LastRead {
+struct LastReading {
     at_ms: u64,
-    /// When it was last over its bound.
-    over_ms: Option<u64>,
+    /// Time of the last reading over the bound.
+    overloaded_ms: Option<u64>,
 }
 
-/// What is known of images beside each other.
+/// The learned costs of filler images for serving images.
 #[derive(Clone, Debug, Default)]
 pub struct ContentionModel {
     images: ImageTable,
-    read: HashMap<RunRef, LastRead>,
-    /// By image of the serving task.
+    last_readings: HashMap<RunRef, LastReading>,
+    /// By serving image.
     filters: HashMap<ImageKey, HeadroomFilter>,
-    /// What images that behave alike add to that.
+    /// Costs combined with those of similar images.
     estimates: CostEstimates,
     compared_ms: u64,
 }
 
 impl ContentionModel {
-    /// Takes over what an earlier leader had learned.
+    /// Creates a model from the costs that an earlier leader had learned.
     pub fn with_known_costs(costs: &[ImageCost], now_ms: u64) -> ContentionModel {
         let mut res = ContentionModel::default();
         for it in costs {
             let (serving, filler) = (res.image(&it.serving), res.image(&it.filler));
-            let own = res.filters.entry(serving).or_default();
-            own.set_known(filler, f64::from(it.headroom_percent), now_ms);
+            let filter = res.filters.entry(serving).or_default();
+            filter.set_known(filler, f64::from(it.headroom_percent), now_ms);
         }
         res
     }
 
-    /// Returns the key of an image.
+    /// Returns the key of an image, and assigns one if it has none.
     pub fn image(&mut self, name: &str) -> ImageKey {
         self.images.key(name)
     }
 
-    /// Returns the name of an image.
     pub fn image_name(&self, key: ImageKey) -> &CompactString {
         self.images.name(key)
     }
 
-    /// Returns what the next leader is to know, pair by pair.
+    /// Returns the costs to pass to the next leader, by pair of images.
     pub fn known_costs(&self) -> Vec<ImageCost> {
         let mut res = Vec::new();
         let mut serving: Vec<_> = self.filters.iter().collect();
         serving.sort_by_key(|(image, _)| self.images.name(**image));
         for (serving, filter) in serving {
             for (filler, percent) in filter.costs() {
-                if KNOWN_MAX <= res.len() {
+                if KNOWN_PAIRS_MAX <= res.len() {
                     return res;
                 }
                 let headroom_percent = percent.round() as f32;
@@ -159,60 +161,59 @@
         res
     }
 
-    /// Returns what a core of `filler` takes from `serving`, in percent of headroom.
+    /// Returns the headroom that one core of `filler` uses of `serving`, in percent.
     pub fn cost_percent(&self, serving: ImageKey, filler: ImageKey) -> f64 {
-        let told = self.estimates.get(serving, filler);
+        let estimate = self.estimates.get(serving, filler);
         let read = || self.read_cost_percent(serving, filler);
         let mean = || self.estimates.mean_percent(filler);
-        told.or_else(read).or_else(mean).unwrap_or(UNKNOWN_COST_PERCENT)
+        estimate.or_else(read).or_else(mean).unwrap_or(UNKNOWN_COST_PERCENT)
     }
 
-    /// Returns the same by readings of this pair alone, if there are any.
+    /// Returns the same cost by readings of this pair alone, if there are any.
     fn read_cost_percent(&self, serving: ImageKey, filler: ImageKey) -> Option<f64> {
         self.filters.get(&serving).and_then(|it| it.cost_percent(filler))
     }
 
-    /// Returns the headroom that the tasks of a step, which run `serving`, have with no filler
-    /// beside them.
+    /// Returns the idle headroom of the tasks of a step, which run `serving`.
     pub fn idle_headroom_percent(&self, serving: ImageKey, group: StepRef) -> f64 {
         let filter = self.filters.get(&serving);
         filter.and_then(|it| it.level_percent(group)).unwrap_or(UNKNOWN_IDLE_HEADROOM_PERCENT)
     }
 
-    /// Returns the share of what it reserves that a step uses by its headroom, or what serving
-    /// tasks use in the mean where that is not known.
+    /// Returns the share of its reserved processors that a step uses, derived from its headroom, or
+    /// the mean of serving tasks where the headroom is unknown.
     pub fn cpu_use_share(&self, serving: ImageKey, group: StepRef) -> f64 {
         let filter = self.filters.get(&serving);
         filter.and_then(|it| it.cpu_use_share(group)).unwrap_or(MEAN_CPU_USE_SHARE)
     }
 
-    /// Returns what `fillers` take from `serving` together, in percent of headroom.
+    /// Returns the headroom that `fillers` use of `serving` together, in percent.
     pub fn used_percent(&self, serving: ImageKey, fillers: &[FillerLoad]) -> f64 {
         fillers.iter().map(|it| self.cost_percent(serving, it.image) * it.cores).sum()
     }
 
-    /// Learns from what was reported of one VM.
+    /// Learns from the reports of one VM.
     pub fn observe(&mut self, serving: &[ServingTask], fillers: &[FillerLoad], now_ms: u64) {
-        if REMEMBERED_MAX <= self.read.len() {
-            self.read.retain(|_, it| now_ms < it.at_ms + READING_KEPT_MS);
+        if TRACKED_MAX <= self.last_readings.len() {
+            self.last_readings.retain(|_, it| now_ms < it.at_ms + READING_RETENTION_MS);
         }
         for it in serving {
             self.observe_one(it, fillers, now_ms);
         }
-        if self.compared_ms + COMPARED_MS <= now_ms {
+        if self.compared_ms + COMPARISON_INTERVAL_MS <= now_ms {
             self.compared_ms = now_ms;
-            self.estimates = CostEstimates::new(self.readings());
+            self.estimates = CostEstimates::new(self.recent_observations());
         }
     }
 
-    /// Returns what readings tell of the images seen last.
-    fn readings(&self) -> PairObservations {
+    /// Returns the observed costs of the images with the most recent readings.
+    fn recent_observations(&self) -> PairObservations {
         let mut rows: Vec<_> = self.filters.iter().collect();
         rows.sort_by_key(|(image, it)| (Reverse(it.changed_ms()), **image));
-        rows.truncate(COMPARED_MAX);
+        rows.truncate(COMPARED_IMAGES_MAX);
         let mut fillers = Vec::new();
         for (image, _) in rows.iter().flat_map(|(_, it)| it.costs()) {
-            if !fillers.contains(&image) && fillers.len() < COMPARED_MAX {
+            if !fillers.contains(&image) && fillers.len() < COMPARED_IMAGES_MAX {
                 fillers.push(image);
             }
         }
@@ -225,18 +226,19 @@
     }
 
     fn observe_one(&mut self, it: &ServingTask, fillers: &[FillerLoad], now_ms: u64) {
-        if REMEMBERED_MAX <= self.read.len() && !self.read.contains_key(&it.run) {
+        if TRACKED_MAX <= self.last_readings.len() && !self.last_readings.contains_key(&it.run) {
             return;
         }
-        let read = self.read.entry(it.run).or_default();
-        let passed_ms = now_ms.saturating_sub(std::mem::replace(&mut read.at_ms, now_ms));
-        let works_off_queue = read.over_ms.is_some_and(|at_ms| now_ms < at_ms + QUEUE_MS);
-        if it.headroom_percent < OVERLOADED_PERCENT {
-            read.over_ms = Some(now_ms);
-        } else if works_off_queue {
+        let last = self.last_readings.entry(it.run).or_default();
+        let passed_ms = now_ms.saturating_sub(std::mem::replace(&mut last.at_ms, now_ms));
+        let is_draining_queue =
+            last.overloaded_ms.is_some_and(|at_ms| now_ms < at_ms + QUEUE_DRAIN_MS);
+        if it.headroom_percent < BOUND_PERCENT {
+            last.overloaded_ms = Some(now_ms);
+        } else if is_draining_queue {
             return;
         }
-        if REMEMBERED_MAX <= self.filters.len() && !self.filters.contains_key(&it.image) {
+        if TRACKED_MAX <= self.filters.len() && !self.filters.contains_key(&it.image) {
             return;
         }
         let reading = HeadroomReading {
@@ -249,9 +251,11 @@
     }
 }
 
-/// Returns how rough a reading is (variance) that follows another of the same task.
+/// Returns the variance of a reading that follows another of the same task after `passed_ms`.
 fn noise(headroom_percent: f64, passed_ms: u64) -> f64 {
-    let deviation_percent = headroom_percent * READING_DEVIATION;
-    let overlap = READ_MS as f64 / passed_ms.clamp(READ_MIN_MS, READ_MS) as f64;
-    deviation_percent * deviation_percent * overlap + ROUGH_MIN_PERCENT * ROUGH_MIN_PERCENT
+    let deviation_percent = headroom_percent * READING_DEVIATION_SHARE;
+    let overlap = READING_WINDOW_MS as f64
+        / passed_ms.clamp(READING_INTERVAL_MIN_MS, READING_WINDOW_MS) as f64;
+    deviation_percent * deviation_percent * overlap
+        + READING_DEVIATION_MIN_PERCENT * READING_DEVIATION_MIN_PERCENT
 }
--- a/src/policy/contention/similarity.rs
+++ b/src/policy/contention/similarity.rs
@@ -1,61 +1,61 @@
-//! Costs of pairs that were seldom seen beside each other, told by images that behave alike.
+//! Estimates for pairs of images with few or no readings, derived from similar images.
 //!
-//! What fillers and services contend for are a few shared resources of a VM, so images fall into
-//! groups: on the users' VMs each image of fillers costs a service either about 1 or 8 to 20 %
-//! of headroom a core, and those that are dear to one service are dear to the same others. A pair that was
-//! never seen is told by the rows and columns that agree with its own where both are known. Where
-//! none agrees, what remains is the pair's own readings and the cost of an unknown pair.
+//! Fillers and services contend for a few shared resources of a VM, so images form groups: on the
+//! users' VMs each filler image costs a service either about 1 or 8 to 20 % of headroom per core,
+//! and images that are expensive for one service are expensive for the same other services. The
+//! cost of an unobserved pair is estimated from the rows and columns that match its own row and
+//! column in the pairs that both have. Without a match, the estimate consists of the pair's own
+//! readings and the prior for unknown pairs.
 
 use crate::policy::contention::{
     headroom_filter::{UNKNOWN_COST_DEVIATION_PERCENT, UNKNOWN_COST_PERCENT},
     images::ImageKey,
 };
 
-/// How far the costs of images that behave alike lie apart (variance, in percent squared): cheap
-/// ones of one group differ by about 2 % of headroom a core.
-const ALIKE_VARIANCE: f64 = 4.0;
+/// Variance of the costs of similar images, in percent squared: cheap images of one group differ by
+/// about 2 % of headroom per core.
+const SIMILAR_VARIANCE: f64 = 4.0;
 
-/// Share of a cost that those of its group differ by beside that: dear ones lie between 8 and 20.
-const ALIKE_PART: f64 = 0.25;
+/// Additional standard deviation as a share of the cost: expensive images range from 8 to 20 %.
+const SIMILAR_DEVIATION_SHARE: f64 = 0.25;
 
-/// The same of images that have nothing to do with each other: what an unknown pair may be off.
-const UNLIKE_VARIANCE: f64 = UNKNOWN_COST_DEVIATION_PERCENT * UNKNOWN_COST_DEVIATION_PERCENT;
+/// Variance of the costs of unrelated images: that of the prior for unknown pairs.
+const UNRELATED_VARIANCE: f64 = UNKNOWN_COST_DEVIATION_PERCENT * UNKNOWN_COST_DEVIATION_PERCENT;
 
-/// A cost as readings of its own pair tell it.
+/// The cost of a pair by its own readings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CostObservation {
-    /// In percent of headroom a core.
+    /// In percent of headroom per core.
     pub mean: f64,
-    /// How far that may be off, in percent squared.
+    /// In percent squared.
     pub variance: f64,
 }
 
-/// What readings tell of pairs of images.
+/// The observed costs of pairs of images.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PairObservations {
-    /// Images that serve.
+    /// Serving images.
     pub serving: Vec<ImageKey>,
-    /// Images of fillers.
+    /// Filler images.
     pub fillers: Vec<ImageKey>,
-    /// By image that serves, then by image of fillers; nothing for pairs not seen.
+    /// By serving image, then by filler image; `None` for unobserved pairs.
     pub pairs: Vec<Vec<Option<CostObservation>>>,
 }
 
-/// Costs of all pairs of images that were compared: a dense table, with the place of each image
-/// in it by key, so that a cost is read without comparing names.
+/// Costs of all pairs of compared images, in a dense table that is indexed by image key.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CostEstimates {
-    /// By key of an image: its row, if it serves and was compared.
+    /// By image key: the row, if the image was compared as a serving image.
     rows: Vec<Option<u16>>,
-    /// By key of an image: its column, if it fills and was compared.
+    /// By image key: the column, if the image was compared as a filler image.
     columns: Vec<Option<u16>>,
     costs_percent: Vec<Vec<f64>>,
-    /// By column: the mean of those compared, and of the cost of an unknown pair.
+    /// By column: the mean over the compared serving images and the prior for unknown pairs.
     means_percent: Vec<f64>,
 }
 
 impl CostEstimates {
-    /// Returns the estimates that follow from readings.
+    /// Derives the estimates from the observed costs.
     pub fn new(readings: PairObservations) -> CostEstimates {
         let costs_percent = costs_percent(&readings);
         let mean = |column: usize| {
@@ -63,29 +63,29 @@
             (UNKNOWN_COST_PERCENT + sum) / (1.0 + costs_percent.len() as f64)
         };
         CostEstimates {
-            rows: places(&readings.serving),
-            columns: places(&readings.fillers),
+            rows: indices_by_key(&readings.serving),
+            columns: indices_by_key(&readings.fillers),
             means_percent: (0..readings.fillers.len()).map(mean).collect(),
             costs_percent,
         }
     }
 
-    /// Returns what a core of `filler` takes from `serving`, in percent of headroom, if both were
-    /// compared with others.
+    /// Returns the headroom that one core of `filler` uses of `serving`, in percent, if both images
+    /// were compared.
     pub fn get(&self, serving: ImageKey, filler: ImageKey) -> Option<f64> {
-        let column = place(&self.columns, filler)?;
-        Some(self.costs_percent[place(&self.rows, serving)?][column])
+        let column = index_of(&self.columns, filler)?;
+        Some(self.costs_percent[index_of(&self.rows, serving)?][column])
     }
 
-    /// Returns what a core of `filler` takes from a service of which nothing is known: the mean of
-    /// those that were compared. Returns nothing for a filler that none of them was seen with.
+    /// Returns the headroom that one core of `filler` uses of an unknown service, in percent: the
+    /// mean over the compared services. Returns `None` for a filler image that was not compared.
     pub fn mean_percent(&self, filler: ImageKey) -> Option<f64> {
-        Some(self.means_percent[place(&self.columns, filler)?])
+        Some(self.means_percent[index_of(&self.columns, filler)?])
     }
 }
 
-/// Returns by key where each of some images stands in their list.
-fn places(images: &[ImageKey]) -> Vec<Option<u16>> {
+/// Returns a table from image key to the index in `images`.
+fn indices_by_key(images: &[ImageKey]) -> Vec<Option<u16>> {
     let length = images.iter().map(|it| it.index() + 1).max().unwrap_or(0);
     let mut res = vec![None; length];
     for (at, it) in images.iter().enumerate() {
@@ -94,22 +94,22 @@
     res
 }
 
-fn place(places: &[Option<u16>], image: ImageKey) -> Option<usize> {
-    places.get(image.index()).copied().flatten().map(usize::from)
+fn index_of(indices_by_key: &[Option<u16>], image: ImageKey) -> Option<usize> {
+    indices_by_key.get(image.index()).copied().flatten().map(usize::from)
 }
 
 fn costs_percent(readings: &PairObservations) -> Vec<Vec<f64>> {
     let (rows, columns) = (readings.serving.len(), readings.fillers.len());
     let pairs = &readings.pairs;
-    let row_weights = likenesses(rows, columns, |row, column| pairs[row][column]);
-    let column_weights = likenesses(columns, rows, |column, row| pairs[row][column]);
+    let row_weights = similarities(rows, columns, |row, column| pairs[row][column]);
+    let column_weights = similarities(columns, rows, |column, row| pairs[row][column]);
     let cost = |row: usize, column: usize| {
         let mut mean = WeightedMean::unknown();
         for (other, weight) in row_weights[row].iter().enumerate() {
-            mean.add_alike(pairs[other][column], *weight);
+            mean.add_similar(pairs[other][column], *weight);
         }
         for (other, weight) in column_weights[column].iter().enumerate() {
-            mean.add_alike(pairs[row][other], *weight);
+            mean.add_similar(pairs[row][other], *weight);
         }
         mean.add(pairs[row][column], 1.0, 0.0);
         mean.get().max(0.0)
@@ -117,14 +117,14 @@
     (0..rows).map(|row| (0..columns).map(|column| cost(row, column)).collect()).collect()
 }
 
-/// Returns for each line of a table how likely each other line is to be alike, from 0 to 1; lines
-/// with no pair in common count for half.
-fn likenesses(
+/// Returns for each line of a table the probability that each other line is similar; 0.5 for lines
+/// with no observed pair in common.
+fn similarities(
     lines: usize,
     length: usize,
     at: impl Fn(usize, usize) -> Option<CostObservation>,
 ) -> Vec<Vec<f64>> {
-    let likeness = |one: usize, other: usize| {
+    let similarity = |one: usize, other: usize| {
         if one == other {
             return 0.0;
         }
@@ -132,27 +132,27 @@
         let log_odds: f64 = both.map(|(a, b)| log_likelihood_ratio(a, b)).sum();
         1.0 / (1.0 + (-log_odds).exp())
     };
-    (0..lines).map(|one| (0..lines).map(|other| likeness(one, other)).collect()).collect()
+    (0..lines).map(|one| (0..lines).map(|other| similarity(one, other)).collect()).collect()
 }
 
-/// Returns how much two costs speak for being alike: the logarithm of how much likelier their
-/// difference is among alike images than among others.
+/// Returns the logarithm of the likelihood of the difference of two costs among similar images,
+/// relative to its likelihood among unrelated images.
 fn log_likelihood_ratio(one: CostObservation, other: CostObservation) -> f64 {
     let difference = one.mean - other.mean;
     let square = difference * difference;
-    let rough = one.variance + other.variance;
+    let noise = one.variance + other.variance;
     let mean = (one.mean + other.mean) / 2.0;
-    let (alike, unlike) = (rough + alike_variance(mean), rough + UNLIKE_VARIANCE);
-    0.5 * ((unlike / alike).ln() - square / alike + square / unlike)
+    let (similar, unrelated) = (noise + similar_variance(mean), noise + UNRELATED_VARIANCE);
+    0.5 * ((unrelated / similar).ln() - square / similar + square / unrelated)
 }
 
-/// Returns how far costs around `mean` lie apart among images that behave alike.
-fn alike_variance(mean: f64) -> f64 {
-    let part = ALIKE_PART * mean.max(0.0);
-    ALIKE_VARIANCE + part * part
+/// Returns the variance of costs around `mean` among similar images.
+fn similar_variance(mean: f64) -> f64 {
+    let part = SIMILAR_DEVIATION_SHARE * mean.max(0.0);
+    SIMILAR_VARIANCE + part * part
 }
 
-/// A mean of costs, each weighted by how exactly it is known.
+/// A mean of costs, weighted by precision.
 #[derive(Clone, Copy, Debug)]
 struct WeightedMean {
     sum: f64,
@@ -161,7 +161,7 @@
 
 impl WeightedMean {
     fn unknown() -> WeightedMean {
-        let precision = 1.0 / UNLIKE_VARIANCE;
+        let precision = 1.0 / UNRELATED_VARIANCE;
         WeightedMean { sum: UNKNOWN_COST_PERCENT * precision, precision }
     }
 
@@ -173,9 +173,9 @@
         }
     }
 
-    /// Adds the cost of a pair that is alike by `weight`.
-    fn add_alike(&mut self, it: Option<CostObservation>, weight: f64) {
-        let variance = it.map_or(ALIKE_VARIANCE, |it| alike_variance(it.mean));
+    /// Adds the cost of a pair that is similar with probability `weight`.
+    fn add_similar(&mut self, it: Option<CostObservation>, weight: f64) {
+        let variance = it.map_or(SIMILAR_VARIANCE, |it| similar_variance(it.mean));
         self.add(it, weight, variance);
     }
 
--- a/src/policy/crash_evidence.rs
+++ b/src/policy/crash_evidence.rs
@@ -1,70 +1,71 @@
 //! Which tasks crash the workers that start them.
 //!
-//! Such a task takes down whatever runs beside it, and would go through the whole fleet if it
-//! were started anew like work that lost its worker to something else. Who is to blame for one
-//! crash cannot be seen. So a task is suspected by odds: each crash of its worker counts by how
-//! much likelier it is if the task caused it than if it came by itself, at the rate at which workers
-//! crash that the task was not on. A task that crashes its workers does so at much the same age
-//! each time; crashes by themselves come at any age. Whatever then runs unharmed for twice as long
-//! as it took its workers to crash is as good as any other task.
-
-/// Time during which nothing else begins on a worker where a suspect begins, so that a crash tells
-/// who caused it. Tasks that crash their workers did so 10 ms after their start, and the loss was
-/// known 313 to 336 ms after they were placed: three times that, since nodes may be slow.
+//! Such a task also ends everything else on its worker. If it were restarted like a task whose
+//! worker crashed for another reason, it would crash one worker after the other. The cause of a
+//! single crash cannot be observed, so a likelihood ratio is kept for each task. Each crash of its
+//! worker multiplies the ratio by the probability of the crash if the task caused it, divided by
+//! its probability at the baseline rate, at which workers without the task crash. A task that
+//! crashes its workers does so at a similar age each time; other crashes come at any age. A run
+//! that survives twice the age at which its workers crashed clears the task.
+
+/// Time during which nothing else starts on a worker where a suspected task starts, so that a
+/// crash can be attributed. Tasks that crash their workers did so 10 ms after their start, and the
+/// loss was known 313 to 336 ms after placement; three times that allows for slow nodes.
 pub const PROBATION_MS: u64 = 1_000;
 
-/// Time after which a run is not suspected at all, which few kinds of work take.
-const OUTLIVED_MS: u64 = 10_000;
+/// Age of a run from which it is not suspected of a crash. Few kinds of work run this long.
+const SUSPECT_AGE_MAX_MS: u64 = 10_000;
 
-/// Times the longest age at which its workers crashed, after which a run has cleared its task.
-const CLEARED_TIMES: u64 = 2;
+/// A run clears its task at this multiple of the age at which the task's worker last crashed.
+const CLEARING_AGE_FACTOR: u64 = 2;
 
-/// Crashes in a row before which no task is given up, as users ask.
-const LOSSES_MIN: u32 = 2;
+/// Crashes in a row before which no task is given up; a requirement of the users.
+const CRASHES_MIN: u32 = 2;
 
-/// Crashes in a row after which one is, however many workers crash anyway. Users allow two starts
-/// after the third crash; one is left for a crash that nobody saw, as beside a node that was cut
-/// off.
-const LOSSES_MAX: u32 = 4;
+/// Crashes in a row after which a task is given up, whatever the baseline crash rate. Users allow
+/// two starts after the third crash; one of them is reserved for an unobserved crash, as on a
+/// partitioned node.
+const CRASHES_MAX: u32 = 4;
 
-/// Crashes in a row from which a task begins only in a calm: the next one is its last, and must tell
-/// it from work that loses its workers to something else.
-const LOSSES_CAREFUL: u32 = LOSSES_MAX - 1;
+/// Crashes in a row from which a task starts only in a quiet period. One more crash ends the task,
+/// so that crash must not have another cause.
+const QUIET_PERIOD_CRASHES: u32 = CRASHES_MAX - 1;
 
-/// Time without a crash that counts as a calm. Users allow that a workflow runs nowhere for some
-/// seconds after workers were lost.
+/// Time without worker crashes that counts as a quiet period. Users allow a workflow to be without
+/// a run for some seconds after workers were lost.
 pub const QUIET_PERIOD_MS: u64 = 4_000;
 
-/// Odds from which a task is given up: the share of harmless tasks that may be, inverted.
-const ODDS_MIN: f64 = 1_000.0;
+/// Likelihood ratio from which a task is given up: the inverse of the share of harmless tasks that
+/// may be given up.
+const LIKELIHOOD_RATIO_MIN: f64 = 1_000.0;
 
-/// Most that the first crash can tell, and each one after it, so that it takes two.
-const ODDS_OF_FIRST_MAX: f64 = 500.0;
-const ODDS_OF_NEXT_MAX: f64 = 40.0;
+/// Largest factors of the first crash and of each later one. One crash alone never suffices.
+const FIRST_CRASH_RATIO_MAX: f64 = 500.0;
+const LATER_CRASH_RATIO_MAX: f64 = 40.0;
 
-/// How far apart the ages are at which a task crashes its workers, as the leader learns of it where
-/// nodes find their workers gone: some looks at a worker, and two hops.
-const FOUND_SOON_MS: u64 = 150;
-const FOUND_SOON_SHARE: f64 = 0.6;
+/// How far apart the crash ages of one task lie, as reported to the leader by nodes that detect
+/// the loss of a worker: several checks of the worker and two network hops.
+const DETECTION_SPREAD_MS: u64 = 150;
+const DETECTION_SHARE: f64 = 0.6;
 
-/// The same where a node is slow itself.
-const FOUND_LATE_MS: u64 = 1_000;
-const FOUND_LATE_SHARE: f64 = 0.25;
+/// The same where the node itself is slow.
+const SLOW_DETECTION_SPREAD_MS: u64 = 1_000;
+const SLOW_DETECTION_SHARE: f64 = 0.25;
 
-/// Share of the crashes whose age tells nothing, as where an order was carried out late.
-const FOUND_ANYHOW_SHARE: f64 = 1.0 - FOUND_SOON_SHARE - FOUND_LATE_SHARE;
+/// Share of the crashes whose ages are unrelated, for example since an order was executed late.
+const UNRELATED_AGE_SHARE: f64 = 1.0 - DETECTION_SHARE - SLOW_DETECTION_SHARE;
 
-/// Age by which half of the tasks that crash their workers have done so, as far as it is known.
-const AT_ONCE_MS: u64 = 500;
+/// Age up to which half of the tasks that crash their workers are expected to do so.
+const EARLY_CRASH_MS: u64 = 500;
 
-/// Least age that is told apart: less than it takes to find a worker gone.
-const AGE_MIN_MS: u64 = 100;
+/// Ages below this are treated as equal; detecting the loss of a worker takes longer.
+const AGE_RESOLUTION_MS: u64 = 100;
 
-/// Time over which crashes are counted for the rate at which workers crash anyway. Shorter than
-/// the minutes over which faults of workers change, and long enough for a few of them.
+/// Time over which crashes are counted for the baseline rate. It is shorter than the minutes over
+/// which the fault rate of workers changes, and long enough to contain a few crashes.
 pub const CRASH_RATE_WINDOW_MS: u64 = 20_000;
 
-/// How often workers crashed lately without the task in question.
+/// How often workers without the task in question crashed within [`CRASH_RATE_WINDOW_MS`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BaselineCrashRate {
     pub crashes: usize,
@@ -72,131 +73,142 @@
 }
 
 impl BaselineCrashRate {
-    /// Returns the odds for a task of having caused a crash at an age of its run, after one at
-    /// another age, if there was any.
+    /// Returns how much likelier a crash at `age_ms` of a run is if the task caused it than at the
+    /// baseline rate. `age_before_ms` is the age at the previous crash, if any.
     pub fn likelihood_ratio(self, age_ms: u64, age_before_ms: Option<u64>) -> f64 {
-        let (likelihood, odds_max) = match age_before_ms {
-            None => (likelihood_at_any_age(age_ms), ODDS_OF_FIRST_MAX),
-            Some(before_ms) => (likelihood_after(age_ms, before_ms), ODDS_OF_NEXT_MAX),
+        let (likelihood, ratio_max) = match age_before_ms {
+            None => (likelihood_at_any_age(age_ms), FIRST_CRASH_RATIO_MAX),
+            Some(before_ms) => (likelihood_after(age_ms, before_ms), LATER_CRASH_RATIO_MAX),
         };
-        (likelihood / self.rate_per_ms()).min(odds_max)
+        (likelihood / self.rate_per_ms()).min(ratio_max)
     }
 
-    /// Returns the rate at which one worker crashes by itself.
+    /// Returns the baseline crash rate of one worker.
     fn rate_per_ms(self) -> f64 {
-        // One more crash than was seen, since none seen does not mean that there are none.
+        // Adds one crash, since zero observed crashes do not imply a rate of zero.
         (self.crashes + 1) as f64 / (self.workers.max(1) as f64 * CRASH_RATE_WINDOW_MS as f64)
     }
 }
 
-/// Returns how likely, by the millisecond, a task that crashes its workers does so at an age, when
-/// nothing else is known of it: half of them at once, and the others at an age of which any order
-/// of magnitude is as likely as another.
+/// Returns the probability density, per millisecond, of a first crash at `age_ms` of a task that
+/// crashes its workers: half of these tasks crash early, and for the others each order of
+/// magnitude of the age is equally likely.
 fn likelihood_at_any_age(age_ms: u64) -> f64 {
-    let magnitudes = (OUTLIVED_MS as f64 / AGE_MIN_MS as f64).ln();
-    let at_once = if age_ms <= AT_ONCE_MS { 1.0 / AT_ONCE_MS as f64 } else { 0.0 };
-    (at_once + 1.0 / (age_ms.max(AGE_MIN_MS) as f64 * magnitudes)) / 2.0
+    let magnitudes = (SUSPECT_AGE_MAX_MS as f64 / AGE_RESOLUTION_MS as f64).ln();
+    let early = if age_ms <= EARLY_CRASH_MS { 1.0 / EARLY_CRASH_MS as f64 } else { 0.0 };
+    (early + 1.0 / (age_ms.max(AGE_RESOLUTION_MS) as f64 * magnitudes)) / 2.0
 }
 
-/// Returns the same for a task that crashed its worker at another age before.
+/// Returns the same density for a task that crashed its worker at `before_ms` before.
 fn likelihood_after(age_ms: u64, before_ms: u64) -> f64 {
     let apart_ms = age_ms.abs_diff(before_ms);
     let within = |spread_ms: u64, share: f64| match apart_ms <= spread_ms {
         true => share / (2 * spread_ms) as f64,
         false => 0.0,
     };
-    within(FOUND_SOON_MS, FOUND_SOON_SHARE)
-        + within(FOUND_LATE_MS, FOUND_LATE_SHARE)
-        + FOUND_ANYHOW_SHARE * likelihood_at_any_age(age_ms)
+    within(DETECTION_SPREAD_MS, DETECTION_SHARE)
+        + within(SLOW_DETECTION_SPREAD_MS, SLOW_DETECTION_SHARE)
+        + UNRELATED_AGE_SHARE * likelihood_at_any_age(age_ms)
 }
 
-/// What is held against a task: crashes of its workers in a row, none of which it outlived.
+/// Evidence against a task: crashes of its workers in a row, with no run in between that cleared
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct CrashEvidence {
     #[serde(rename = "losses")]
     pub crashes_in_row: u32,
-    /// Runs since then that ended with a worker that fell silent: it may have crashed.
-    silent: u32,
+    /// Runs in the same time that ended since their worker became silent and may have crashed.
+    #[serde(rename = "silent")]
+    silent_workers: u32,
     #[serde(rename = "odds")]
     pub likelihood_ratio: f64,
-    /// Age of its run at the last crash that it was seen at.
-    age_ms: u64,
+    /// Age of the run at the last observed crash; 0 before the first one.
+    #[serde(rename = "age_ms")]
+    crash_age_ms: u64,
 }
 
 impl Default for CrashEvidence {
     fn default() -> CrashEvidence {
-        CrashEvidence { crashes_in_row: 0, silent: 0, likelihood_ratio: 1.0, age_ms: 0 }
+        CrashEvidence {
+            crashes_in_row: 0,
+            silent_workers: 0,
+            likelihood_ratio: 1.0,
+            crash_age_ms: 0,
+        }
     }
 }
 
 impl CrashEvidence {
-    /// Returns what is held against the task after one more crash, seen at an age of its run.
+    /// Returns the evidence after one more crash, observed at `age_ms` of the run.
     pub fn after_crash(self, age_ms: u64, baseline: BaselineCrashRate) -> CrashEvidence {
         let crashes_in_row = self.crashes_in_row + 1;
-        let before_ms = (0 < self.age_ms).then_some(self.age_ms);
+        let before_ms = (0 < self.crash_age_ms).then_some(self.crash_age_ms);
         let likelihood_ratio = match self.is_ruled_out_at_age(age_ms) {
-            // An order that came late makes a young run look old, so that the count goes on.
+            // A late order makes a young run look old, so the crash count is kept and only the
+            // ratio starts anew.
             true => baseline.likelihood_ratio(age_ms, None),
             false => self.likelihood_ratio * baseline.likelihood_ratio(age_ms, before_ms),
         };
-        CrashEvidence { crashes_in_row, likelihood_ratio, age_ms, ..self }
+        CrashEvidence { crashes_in_row, likelihood_ratio, crash_age_ms: age_ms, ..self }
     }
 
-    /// Returns what is held against the task after a crash that another task explains.
+    /// Returns the evidence after a crash that is attributed to another task.
     pub fn after_explained_crash(self, age_ms: u64) -> CrashEvidence {
-        CrashEvidence { crashes_in_row: self.crashes_in_row + 1, age_ms, ..self }
+        CrashEvidence { crashes_in_row: self.crashes_in_row + 1, crash_age_ms: age_ms, ..self }
     }
 
-    /// Returns what is held against the task after a crash of a worker that was told to start it,
-    /// and may have done so.
+    /// Returns the evidence after a crash of a worker that was ordered to start the task, where it
+    /// is unknown whether the run began.
     pub fn after_unobserved_crash(self) -> CrashEvidence {
         CrashEvidence { crashes_in_row: self.crashes_in_row + 1, ..self }
     }
 
-    /// Returns what is held against the task after its worker fell silent.
+    /// Returns the evidence after the task's worker became silent.
     pub fn after_silent_worker(self) -> CrashEvidence {
-        CrashEvidence { silent: self.silent + 1, ..self }
+        CrashEvidence { silent_workers: self.silent_workers + 1, ..self }
     }
 
-    /// Returns whether a run that got so old unharmed has cleared the task.
+    /// Returns whether a run that reached `age_ms` without a crash clears the task.
     pub fn is_ruled_out_at_age(self, age_ms: u64) -> bool {
-        is_too_old_to_suspect(age_ms) || 0 < self.age_ms && self.age_ms * CLEARED_TIMES <= age_ms
+        is_too_old_to_suspect(age_ms)
+            || 0 < self.crash_age_ms && self.crash_age_ms * CLEARING_AGE_FACTOR <= age_ms
     }
 
-    /// Returns whether the task must begin where nothing else does.
+    /// Returns whether nothing else may start on the worker for [`PROBATION_MS`] after the task.
     ///
-    /// One crash that nobody saw it run at tells next to nothing: after a loss of power of all
-    /// workers that is true of all tasks, and trials would let them begin one after the other.
+    /// A single unobserved crash is not enough: after a power loss of all workers every task has
+    /// one, and probation would serialize all their starts.
     pub fn needs_probation(self) -> bool {
-        let was_seen = 0 < self.age_ms;
-        self.age_ms <= PROBATION_MS && (was_seen || LOSSES_MIN <= self.crashes_in_row)
+        let was_observed = 0 < self.crash_age_ms;
+        self.crash_age_ms <= PROBATION_MS && (was_observed || CRASHES_MIN <= self.crashes_in_row)
     }
 
-    /// Returns whether the task must begin only while no workers crash.
+    /// Returns whether the task may start only in a quiet period ([`QUIET_PERIOD_MS`]).
     pub fn needs_quiet_period(self) -> bool {
-        LOSSES_CAREFUL <= self.crashes_in_row + self.silent
+        QUIET_PERIOD_CRASHES <= self.crashes_in_row + self.silent_workers
     }
 
-    /// Returns whether the task has most likely caused the crashes.
+    /// Returns whether the task is taken to have caused the crashes, and is given up.
     pub fn is_culprit(self) -> bool {
-        LOSSES_MIN <= self.crashes_in_row && ODDS_MIN <= self.likelihood_ratio
+        CRASHES_MIN <= self.crashes_in_row && LIKELIHOOD_RATIO_MIN <= self.likelihood_ratio
             || self.is_at_crash_limit()
     }
 
-    /// Returns whether the task must not start again, whatever the odds.
+    /// Returns whether the task must not start again, whatever the likelihood ratio.
     pub fn is_at_crash_limit(self) -> bool {
-        LOSSES_MIN <= self.crashes_in_row && LOSSES_MAX <= self.crashes_in_row + self.silent
+        CRASHES_MIN <= self.crashes_in_row
+            && CRASHES_MAX <= self.crashes_in_row + self.silent_workers
     }
 }
 
 /// Returns whether a run is too old to be suspected of the crash of its worker.
 pub fn is_too_old_to_suspect(age_ms: u64) -> bool {
-    OUTLIVED_MS <= age_ms
+    SUSPECT_AGE_MAX_MS <= age_ms
 }
 
-/// Returns the same for a run of which it is not known when it began, or whether its worker was
-/// there to the end: orders come up to 8 s late, a lease holds for some 4 s, and as long again control
-/// itself may have been away.
+/// Returns the same for a run whose start time is unknown, or whose worker may have been gone
+/// before the end. The margin covers orders that arrive up to 8 s late, a lease of about 4 s and
+/// as long an outage of control itself.
 pub fn is_surely_too_old_to_suspect(age_ms: u64) -> bool {
-    3 * OUTLIVED_MS <= age_ms
+    3 * SUSPECT_AGE_MAX_MS <= age_ms
 }
