--- a/src/error/mod.rs
+++ b/src/error/mod.rs
@@ -1,8 +1,8 @@
-//! The closed list of error kinds and the one table from kind to answer.
+//! The closed list of error kinds, and the table that maps each kind to its answer.
 //!
 //! Errors inside the process are [`Report`]s over one opaque [`Error`], with context attached at
-//! each layer. Errors told to a client are a [`Refusal`]; how a refusal is answered is read
-//! from [`answer_for_error`], never decided at the place that refuses.
+//! each layer. Errors sent to a client are a [`Refusal`]. The answer to a refusal is always taken
+//! from [`answer_for_error`], and not decided by the code that refuses.
 
 use std::fmt;
 
@@ -11,7 +11,7 @@
 
 pub use crate::schema::messages::{ErrorKind, Refusal};
 
-/// A result whose error, unless named, carries its context.
+/// A result whose error is a [`Report`] with context, unless another type is given.
 pub type Result<T, E = Report<Error>> = std::result::Result<T, E>;
 
 /// An error of this process: a kind of the closed list and a message that names the bad value.
@@ -22,17 +22,15 @@
 }
 
 impl Error {
-    /// Makes an error of `kind`.
     pub fn new(kind: ErrorKind, message: impl Into<CompactString>) -> Error {
         Error { kind, message: message.into() }
     }
 
-    /// Makes a report of `kind`, ready to be returned.
+    /// Creates a report of a new error.
     pub fn report(kind: ErrorKind, message: impl Into<CompactString>) -> Report<Error> {
         Report::new(Error::new(kind, message))
     }
 
-    /// Returns the kind.
     pub fn kind(&self) -> ErrorKind {
         self.kind
     }
@@ -46,19 +44,18 @@
 
 impl std::error::Error for Error {}
 
-/// Whether the request behind an error ran.
+/// Whether the request that an error refers to was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutionStatus {
-    /// It did not run, and no later event makes it run.
+    /// It was not executed, and will not be executed later.
     NotExecuted,
-    /// It may have run; a non-idempotent request must not be sent under another key.
+    /// It may have been executed; a non-idempotent request must not be sent with another key.
     Unknown,
-    /// It ran.
     Executed,
 }
 
 impl ExecutionStatus {
-    /// Returns the word used in answers.
+    /// Returns the text used in answers.
     pub fn as_str(self) -> &'static str {
         match self {
             ExecutionStatus::NotExecuted => "no",
@@ -68,7 +65,7 @@
     }
 }
 
-/// How an error kind is answered.
+/// The answer to errors of one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorAnswer {
     pub kind: ErrorKind,
@@ -87,7 +84,7 @@
     ErrorAnswer { kind, status, execution, retryable }
 }
 
-/// Every kind with its answer, in the order of the schema.
+/// All kinds with their answers, in the order of the schema.
 pub const ERROR_ANSWERS: &[ErrorAnswer] = &[
     row(ErrorKind::BadRequest, 400, ExecutionStatus::NotExecuted, false),
     row(ErrorKind::Unauthenticated, 401, ExecutionStatus::NotExecuted, false),
@@ -130,7 +127,7 @@
     row(ErrorKind::Internal, 500, ExecutionStatus::Unknown, true),
 ];
 
-/// Returns how errors of `kind` are answered.
+/// Returns the answer to errors of `kind`.
 ///
 /// ```
 /// use aspenrail::error::{ErrorKind, ExecutionStatus, answer_for_error};
@@ -139,16 +136,16 @@
 /// assert_eq!((row.status, row.execution, row.retryable), (429, ExecutionStatus::NotExecuted, true));
 /// ```
 pub fn answer_for_error(kind: ErrorKind) -> ErrorAnswer {
-    // The table is in the order of the enum; a test holds the two together.
+    // The table is in the order of the enum; a test checks that they match.
     ERROR_ANSWERS[kind as usize]
 }
 
-/// Makes a refusal that is not worth repeating.
+/// Creates a refusal without a time to retry.
 pub fn refusal(kind: ErrorKind, detail: impl Into<CompactString>) -> Refusal {
     Refusal { kind, detail: detail.into(), retry_after_ms: 0 }
 }
 
-/// Makes a refusal that says when to come back.
+/// Creates a refusal with the time after which the client may retry.
 pub fn refusal_with_retry_after(
     kind: ErrorKind,
     detail: impl Into<CompactString>,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,13 +1,13 @@
-//! Which quick requests wait, and which are refused at once.
+//! Admission of latency-critical requests: which ones wait, and which are refused at once.
 //!
-//! A request that cannot be answered in time is told so when that is known, with the time to
-//! come back, and never held until its deadline.
+//! A request that cannot be answered in time is refused as soon as this is known, with the time
+//! after which to retry. It is never held until its deadline.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::prelude::*;
 
-/// A request that waits for a free endpoint.
+/// A request waiting for a free endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaitingRequest<K> {
     pub key: K,
@@ -18,21 +18,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
     QueueFull,
-    /// Its team fills its share of a full queue.
+    /// The queue is full, and the request's team uses its share.
     TeamShareExceeded,
 }
 
-/// The requests of one class that wait in an entry, fair between teams.
+/// The waiting requests of one class in an entry, fair between teams.
 #[derive(Clone, Debug)]
 pub struct FairQueue<K> {
     teams: BTreeMap<CompactString, VecDeque<WaitingRequest<K>>>,
-    /// Requests served by team, relative to the least served one that waits.
+    /// Count of served requests by team; a team that returns starts at the least of the waiting ones.
     served: BTreeMap<CompactString, u64>,
     len: usize,
 }
 
 impl<K: Copy + PartialEq> FairQueue<K> {
-    /// Makes an empty queue.
     pub fn new() -> FairQueue<K> {
         FairQueue { teams: BTreeMap::new(), served: BTreeMap::new(), len: 0 }
     }
@@ -47,12 +46,13 @@
 
     /// Adds a request.
     ///
-    /// In a full queue a team with more than its even share loses: the newcomer if it is of that
-    /// team, else the newest of the team with the most waiting, which is returned.
+    /// A full queue displaces the newest request of the team with the most waiting requests, and
+    /// returns it. If the new request is of that team, or its team would have as many requests, the
+    /// new request is rejected instead.
     ///
     /// # Errors
     ///
-    /// Returns why the newcomer may not wait.
+    /// Returns why the new request was rejected.
     ///
     /// ```
     /// use aspenrail::policy::admission::{FairQueue, Rejection, WaitingRequest};
@@ -88,7 +88,7 @@
             self.len -= usize::from(displaced.is_some());
         }
         if !self.teams.contains_key(team) {
-            // A team that comes back competes from now on; it has saved up nothing.
+            // A team that was absent gains no advantage: it starts at the least count of the others.
             let floor =
                 self.teams.keys().filter_map(|it| self.served.get(it)).min().copied().unwrap_or(0);
             let served = self.served.entry(team.into()).or_insert(floor);
@@ -99,7 +99,7 @@
         Ok(displaced)
     }
 
-    /// Takes the next request of the team that was served least.
+    /// Removes the oldest request of the least served team.
     pub fn pop(&mut self) -> Option<WaitingRequest<K>> {
         let served = &self.served;
         let team =
@@ -116,7 +116,7 @@
         it
     }
 
-    /// Puts back what [`FairQueue::pop`] took a moment ago.
+    /// Returns a request to the queue that [`FairQueue::pop`] has just removed.
     pub fn push_front(&mut self, team: &str, it: WaitingRequest<K>) {
         self.teams.entry(team.into()).or_default().push_front(it);
         self.len += 1;
@@ -125,7 +125,6 @@
         }
     }
 
-    /// Takes one request out.
     pub fn remove(&mut self, key: K) {
         for list in self.teams.values_mut() {
             let before = list.len();
@@ -142,7 +141,7 @@
     }
 }
 
-/// Returns the time that a newcomer would wait behind `queued` others.
+/// Returns the expected wait of a new request behind `queued` others.
 pub fn expected_wait_ms(queued: usize, slots: u32, answer_ms: f64) -> u64 {
     (queued as f64 * answer_ms / f64::from(slots.max(1))) as u64
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,8 @@
-//! The decisions, as functions over plain data.
+//! Scheduling decisions, as functions over plain data.
 //!
-//! Nothing here does I/O, reads a clock or draws a random number of its own: the callers pass
-//! in time and randomness, so that a decision can be tested, benchmarked and compared with its
-//! naive twin.
+//! This module does no I/O, reads no clock and has no random generator of its own. The callers
+//! pass in time and randomness, so that a decision can be tested, benchmarked and compared with a
+//! naive reference implementation.
 
 pub mod admission;
 pub mod contention;
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,9 +1,9 @@
-//! Which VM a task starts on.
+//! Selection of the VM that a task starts on.
 //!
-//! Batch tasks are packed: the VM with the least room that still fits, so that large gaps stay
-//! whole. Tasks of services are spread over availability zones and racks. Both prefer the VM
-//! where the estimated interference is least among a bounded number of candidates, so that a
-//! start costs no scan of all VMs.
+//! Batch tasks are packed onto the VM with the least free capacity that still fits, so that large
+//! free blocks are preserved. Tasks of services are spread over availability zones and racks. Both
+//! prefer the VM with the least estimated interference. Only a bounded number of candidates is
+//! compared, so that a start does not scan all VMs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,11 +15,11 @@
 /// Candidates compared before one is chosen.
 const CANDIDATES: usize = 12;
 
-/// VMs looked at for candidates before the search gives up, so that one start stays cheap even
-/// where memory or accelerators are what is missing.
-const LOOKED_AT_MAX: usize = 96;
+/// VMs examined in the search for candidates, so that one start stays cheap even if most VMs lack
+/// memory or accelerators.
+const EXAMINED_MAX: usize = 96;
 
-/// What is free on a VM.
+/// The free resources of a VM, and its location.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FreeVmCapacity {
     pub free: Resources,
@@ -27,49 +27,49 @@
     pub rack: CompactString,
 }
 
-/// How a task's place is chosen.
+/// How the VM of a task is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementStrategy {
-    /// The tightest fit.
+    /// The VM with the fewest free processors that fits.
     Pack,
-    /// The emptiest, away from the other tasks of its job.
+    /// The VM with the most free processors, away from the other tasks of the job.
     Spread,
 }
 
 /// The cost of one more task on a VM, as the caller estimates it.
 pub trait PlacementCost {
-    /// Returns the estimated harm that the task and the VM's other work do to each other;
-    /// infinite where the task must not start.
+    /// Returns the estimated interference between the task and the VM's other work; infinite if the
+    /// task must not start there.
     fn interference(&self, vm: VmId) -> f64;
 
-    /// Returns how many tasks of the same job stand in the VM's zone, and in its rack.
-    fn same_job_counts(&self, room: &FreeVmCapacity) -> (u32, u32);
+    /// Returns how many tasks of the same job are in the VM's availability zone, and in its rack.
+    fn same_job_counts(&self, capacity: &FreeVmCapacity) -> (u32, u32);
 }
 
-/// The free room of all open VMs, ordered by free processors.
+/// The free capacity of all VMs that accept tasks, ordered by free processors.
 #[derive(Clone, Debug, Default)]
 pub struct FreeCapacityIndex {
-    rooms: BTreeMap<VmId, FreeVmCapacity>,
+    capacities: BTreeMap<VmId, FreeVmCapacity>,
     by_cpu: BTreeSet<(u32, VmId)>,
 }
 
 impl FreeCapacityIndex {
-    /// Sets what is free on a VM; `None` where no task may start.
-    pub fn set(&mut self, vm: VmId, room: Option<FreeVmCapacity>) {
-        if let Some(old) = self.rooms.remove(&vm) {
+    /// Sets the free capacity of a VM; `None` if no task may start there.
+    pub fn set(&mut self, vm: VmId, capacity: Option<FreeVmCapacity>) {
+        if let Some(old) = self.capacities.remove(&vm) {
             self.by_cpu.remove(&(old.free.cpu_millicores, vm));
         }
-        if let Some(it) = room {
+        if let Some(it) = capacity {
             self.by_cpu.insert((it.free.cpu_millicores, vm));
-            self.rooms.insert(vm, it);
+            self.capacities.insert(vm, it);
         }
     }
 
-    /// Takes `need` from a VM's room.
+    /// Subtracts `need` from the free capacity of a VM.
     pub fn allocate(&mut self, vm: VmId, need: Resources) {
-        if let Some(mut room) = self.rooms.get(&vm).cloned() {
-            room.free = subtract(room.free, need);
-            self.set(vm, Some(room));
+        if let Some(mut capacity) = self.capacities.get(&vm).cloned() {
+            capacity.free = subtract(capacity.free, need);
+            self.set(vm, Some(capacity));
         }
     }
 
@@ -79,23 +79,23 @@
     }
 
     pub fn get(&self, vm: VmId) -> Option<&FreeVmCapacity> {
-        self.rooms.get(&vm)
+        self.capacities.get(&vm)
     }
 
     pub fn len(&self) -> usize {
-        self.rooms.len()
+        self.capacities.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.rooms.is_empty()
+        self.capacities.is_empty()
     }
 
-    /// Returns the VMs of the index.
+    /// Returns the VMs with their free capacity.
     pub fn iter(&self) -> impl Iterator<Item = (VmId, &FreeVmCapacity)> {
-        self.rooms.iter().map(|(id, it)| (*id, it))
+        self.capacities.iter().map(|(id, it)| (*id, it))
     }
 
-    /// Chooses a VM for a task, or none where it fits nowhere among those looked at.
+    /// Chooses a VM for a task; `None` if the task fits on none of the examined VMs.
     pub fn choose(
         &self,
         need: Resources,
@@ -103,29 +103,30 @@
         cost: &impl PlacementCost,
     ) -> Option<VmId> {
         let range = (need.cpu_millicores, VmId(0))..;
-        let fitting = |vm: &VmId| self.rooms.get(vm).is_some_and(|it| fits(need, it.free));
+        let fitting = |vm: &VmId| self.capacities.get(vm).is_some_and(|it| fits(need, it.free));
         let candidates: Vec<VmId> = match aim {
             PlacementStrategy::Pack => {
-                let looked_at = self.by_cpu.range(range).take(LOOKED_AT_MAX);
-                looked_at.map(|(_, vm)| *vm).filter(fitting).take(CANDIDATES).collect()
+                let examined = self.by_cpu.range(range).take(EXAMINED_MAX);
+                examined.map(|(_, vm)| *vm).filter(fitting).take(CANDIDATES).collect()
             }
             PlacementStrategy::Spread => {
-                // Zones differ in which of their VMs are empty; a longer look finds several zones.
-                let looked_at = self.by_cpu.range(range).rev().take(LOOKED_AT_MAX);
-                looked_at.map(|(_, vm)| *vm).filter(fitting).collect()
+                // Keeps all examined VMs that fit, since a few may lie in one availability zone.
+                let examined = self.by_cpu.range(range).rev().take(EXAMINED_MAX);
+                examined.map(|(_, vm)| *vm).filter(fitting).collect()
             }
         };
         self.best_of(candidates.into_iter(), need, aim, cost)
     }
 
-    /// The naive twin of [`FreeCapacityIndex::choose`]: compares every VM.
+    /// The reference implementation of [`FreeCapacityIndex::choose`], which compares every VM.
     pub fn choose_by_scan(
         &self,
         need: Resources,
         aim: PlacementStrategy,
         cost: &impl PlacementCost,
     ) -> Option<VmId> {
-        let fitting = self.rooms.iter().filter(|(_, it)| fits(need, it.free)).map(|(id, _)| *id);
+        let fitting =
+            self.capacities.iter().filter(|(_, it)| fits(need, it.free)).map(|(id, _)| *id);
         self.best_of(fitting, need, aim, cost)
     }
 
@@ -137,14 +138,14 @@
         cost: &impl PlacementCost,
     ) -> Option<VmId> {
         let score = |vm: VmId| -> Option<(u32, u32, f64, u32)> {
-            let room = self.rooms.get(&vm)?;
-            let left = room.free.cpu_millicores - need.cpu_millicores;
-            let harm = Some(cost.interference(vm)).filter(|it| it.is_finite())?;
+            let capacity = self.capacities.get(&vm)?;
+            let remaining_millicores = capacity.free.cpu_millicores - need.cpu_millicores;
+            let interference = Some(cost.interference(vm)).filter(|it| it.is_finite())?;
             Some(match aim {
-                PlacementStrategy::Pack => (0, 0, harm, left),
+                PlacementStrategy::Pack => (0, 0, interference, remaining_millicores),
                 PlacementStrategy::Spread => {
-                    let (zone, rack) = cost.same_job_counts(room);
-                    (zone, rack, harm, u32::MAX - left)
+                    let (zone, rack) = cost.same_job_counts(capacity);
+                    (zone, rack, interference, u32::MAX - remaining_millicores)
                 }
             })
         };
--- a/src/policy/preemption.rs
+++ b/src/policy/preemption.rs
@@ -1,4 +1,4 @@
-//! Which batch work gives way to an urgent start.
+//! Selection of batch tasks to evict for an urgent start, and budgets for evictions.
 
 use crate::{
     control::state::{add, fits},
@@ -10,16 +10,17 @@
 pub struct Victim {
     pub task: TaskId,
     pub resources: Resources,
-    /// Run time that an eviction throws away.
+    /// Run time whose work is lost by an eviction.
     pub lost_run_ms: u64,
-    /// Whether its team is above its quota, so that it only borrows the room.
+    /// Whether its team is above its quota, and so borrows the capacity.
     pub exceeds_quota: bool,
 }
 
-/// Chooses victims on one VM so that `need` fits into `free` and what they hold.
+/// Chooses victims on one VM so that `need` fits into `free` plus the resources of the victims.
 ///
-/// Borrowed room goes first, then the least lost work per freed processor. Returns the victims
-/// and the work lost, or nothing where even all of them free too little.
+/// Victims that borrow capacity come first, then those with the least lost work per freed
+/// processor. Returns the victims and the lost run time in milliseconds, or `None` if evicting all
+/// of them would not free enough.
 ///
 /// ```
 /// use aspenrail::{
@@ -39,23 +40,23 @@
     victims: &[Victim],
 ) -> Option<(Vec<TaskId>, u64)> {
     let mut order: Vec<_> = victims.to_vec();
-    let price = |it: &Victim| {
+    let lost_per_core_ms = |it: &Victim| {
         it.lost_run_ms.saturating_mul(1_000) / u64::from(it.resources.cpu_millicores.max(1))
     };
-    order.sort_by_key(|it| (!it.exceeds_quota, price(it), it.task));
-    let mut room = free;
+    order.sort_by_key(|it| (!it.exceeds_quota, lost_per_core_ms(it), it.task));
+    let mut available = free;
     let mut chosen = Vec::new();
     for it in &order {
-        if fits(need, room) {
+        if fits(need, available) {
             break;
         }
-        room = add(room, it.resources);
+        available = add(available, it.resources);
         chosen.push(*it);
     }
-    if !fits(need, room) {
+    if !fits(need, available) {
         return None;
     }
-    // What a later, larger victim made needless stays.
+    // Spares victims that a later, larger victim made unnecessary.
     for at in (0..chosen.len()).rev() {
         let others = chosen.iter().enumerate().filter(|(other, _)| *other != at);
         if fits(need, others.fold(free, |sum, (_, it)| add(sum, it.resources))) {
@@ -66,15 +67,15 @@
     Some((chosen.into_iter().map(|it| it.task).collect(), lost_ms))
 }
 
-/// What an eviction is for.
+/// The reason for an eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionPurpose {
     UrgentStart,
-    /// A service beside it is above its target.
+    /// A service on the same VM is above its latency target.
     LatencyRelief,
 }
 
-/// Evictions that a class still accepts, as a bucket that fills over an hour.
+/// The remaining evictions of a class, as a token bucket that fills within an hour.
 #[derive(Clone, Copy, Debug)]
 pub struct EvictionBudget {
     tokens: f64,
@@ -82,14 +83,15 @@
 }
 
 impl EvictionBudget {
-    /// Makes a budget that is a quarter full, so that a change of leader grants no new hour.
+    /// Creates a budget that is a quarter full, so that a change of leader does not grant the
+    /// evictions of a whole hour.
     pub fn new(per_hour: u32, now_ms: u64) -> EvictionBudget {
         EvictionBudget { tokens: (f64::from(per_hour) / 4.0).ceil(), filled_ms: now_ms }
     }
 
-    /// Returns whether `count` evictions are left, none of which is taken yet.
+    /// Refills the budget, and returns whether `count` evictions are left, without taking them.
     ///
-    /// Work that can wait leaves an eighth of the hour to urgent starts.
+    /// Evictions for latency relief leave an eighth of the hourly budget to urgent starts.
     pub fn allows(
         &mut self,
         per_hour: u32,
@@ -101,14 +103,14 @@
         self.filled_ms = now_ms;
         let per_hour = f64::from(per_hour);
         self.tokens = (self.tokens + per_hour * elapsed_ms / 3_600_000.0).min(per_hour);
-        let kept = match purpose {
+        let reserve = match purpose {
             EvictionPurpose::UrgentStart => 0.0,
             EvictionPurpose::LatencyRelief => per_hour / 8.0,
         };
-        f64::from(count) + kept <= self.tokens
+        f64::from(count) + reserve <= self.tokens
     }
 
-    /// Takes evictions that [`EvictionBudget::allows`] has granted.
+    /// Takes evictions that [`EvictionBudget::allows`] has allowed.
     pub fn spend(&mut self, count: u32) {
         self.tokens -= f64::from(count);
     }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,8 +1,8 @@
-//! When a request is tried again, and which endpoints are left out.
+//! Retries of requests, and ejection of failing endpoints.
 
 use crate::prelude::*;
 
-/// Why an attempt is followed by another.
+/// Why a request is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RetryReason {
     /// The endpoint's agent refused before it dispatched.
@@ -13,12 +13,12 @@
     NoAnswer,
     /// The endpoint failed; idempotent requests only.
     Failed,
-    /// The agent was asked and had never seen the attempt.
+    /// The endpoint's agent answered that it has not received the attempt.
     NotSeen,
 }
 
 impl RetryReason {
-    /// Every reason, for counters that exist from the start.
+    /// All reasons, so that a counter can be created for each at start-up.
     pub const ALL: [RetryReason; 6] = [
         RetryReason::Busy,
         RetryReason::Leaving,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Returns why a refusal before dispatch is worth another attempt.
+/// Returns the reason for a retry after a refusal before dispatch.
 pub fn reason_of_refusal(kind: ErrorKind) -> RetryReason {
     match kind {
         ErrorKind::EndpointLeaving | ErrorKind::Draining | ErrorKind::NoEndpoint => {
@@ -52,18 +52,18 @@
     }
 }
 
-/// Retries allowed as a part of the answers, so that a failing service is not buried under them.
+/// Limits retries to a share of the answers, so that retries do not overload a failing service.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     permille: u64,
     tokens_milli: u64,
 }
 
-/// Retries that a budget may save up.
+/// Most retries that a budget can accumulate.
 const TOKENS_MAX: u64 = 50;
 
 impl RetryBudget {
-    /// Makes a budget with a few retries saved up, for the first failures after a start.
+    /// Creates a budget with a few retries available, for the first failures after a start.
     pub fn new(permille: u32) -> RetryBudget {
         RetryBudget {
             permille: permille.into(),
@@ -71,17 +71,17 @@
         }
     }
 
-    /// Counts an answer.
+    /// Adds the share of a retry that one answer earns.
     pub fn earn(&mut self) {
         self.tokens_milli = (self.tokens_milli + self.permille).min(TOKENS_MAX * 1_000);
     }
 
-    /// Takes one retry, or returns whether the budget is spent.
+    /// Takes one retry from the budget; returns `false` if none is left.
     ///
     /// ```
     /// use aspenrail::policy::retry::RetryBudget;
     ///
-    /// // Half a retry for each answer, and nothing saved up beyond the first few.
+    /// // Half a retry per answer; the initial retries are used up first.
     /// let mut budget = RetryBudget::new(500);
     /// while budget.try_spend() {}
     /// budget.earn();
@@ -98,25 +98,25 @@
     }
 }
 
-/// Failures in a row after which an endpoint is left out.
+/// Failures in a row after which an endpoint is ejected.
 const FAILURES_MAX: u32 = 5;
 
-/// Shortest and longest time that an endpoint is left out.
+/// Shortest and longest time for which an endpoint is ejected.
 const EJECTION_MIN_MS: u64 = 1_000;
 const EJECTION_MAX_MS: u64 = 30_000;
 
-/// Whether an endpoint takes part in routing.
+/// The routing state of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
     #[default]
     Open,
-    /// Left out until then.
+    /// Gets no requests until `until_ms`; the next request is a probe.
     Ejected { until_ms: u64 },
-    /// One probe is under way.
+    /// One probe is in flight.
     HalfOpen,
 }
 
-/// Failures of one endpoint as one entry sees them.
+/// Ejection of one endpoint, by the failures that one entry observed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ejection {
     health: Health,
@@ -125,7 +125,7 @@
 }
 
 impl Ejection {
-    /// Returns whether a request may be sent there now.
+    /// Returns whether a request may be sent to the endpoint now.
     pub fn admits(&self, now_ms: u64) -> bool {
         match self.health {
             Health::Open => true,
@@ -134,39 +134,39 @@
         }
     }
 
-    /// Returns whether the endpoint is left out or under probe.
     pub fn is_ejected_or_probing(&self) -> bool {
         self.health != Health::Open
     }
 
-    /// Notes that a request is sent there: after an ejection it is the one probe.
+    /// Records a request to the endpoint; after an ejection it is the probe.
     pub fn note_sent(&mut self) {
         if self.is_ejected_or_probing() {
             self.health = Health::HalfOpen;
         }
     }
 
-    /// Notes an answer that was not an error, or a refusal that says the endpoint lives.
+    /// Records an answer without an error, or a refusal that shows that the endpoint is up.
     pub fn note_success(&mut self) {
         *self = Ejection::default();
     }
 
-    /// Notes a probe that was refused before it ran, which says nothing either way.
+    /// Records a probe that was refused before it ran, which is neither a success nor a failure.
     pub fn note_probe_refused(&mut self, now_ms: u64) {
         if self.health == Health::HalfOpen {
             self.health = Health::Ejected { until_ms: now_ms + EJECTION_MIN_MS };
         }
     }
 
-    /// Notes a failure; `others_out_permille` bounds ejections so that they never empty the set.
-    pub fn note_failure(&mut self, now_ms: u64, others_out_permille: u32) {
+    /// Records a failure. An endpoint is not newly ejected if `others_ejected_permille`, the share of
+    /// other endpoints that are ejected, is at least 500, so that some endpoints always remain.
+    pub fn note_failure(&mut self, now_ms: u64, others_ejected_permille: u32) {
         self.failures_in_row += 1;
-        let probe_failed = self.health == Health::HalfOpen;
-        let too_many = FAILURES_MAX <= self.failures_in_row && others_out_permille < 500;
-        if probe_failed || too_many {
-            let doubled = EJECTION_MIN_MS << self.ejections_in_row.min(5);
+        let is_failed_probe = self.health == Health::HalfOpen;
+        let exceeds_limit = FAILURES_MAX <= self.failures_in_row && others_ejected_permille < 500;
+        if is_failed_probe || exceeds_limit {
+            let ejection_ms = EJECTION_MIN_MS << self.ejections_in_row.min(5);
             self.ejections_in_row += 1;
-            self.health = Health::Ejected { until_ms: now_ms + doubled.min(EJECTION_MAX_MS) };
+            self.health = Health::Ejected { until_ms: now_ms + ejection_ms.min(EJECTION_MAX_MS) };
         }
     }
 }
--- a/src/policy/run_times.rs
+++ b/src/policy/run_times.rs
@@ -1,4 +1,4 @@
-//! Run times corrected by history, since declared ones are often far off.
+//! Run time estimates from history, since declared run times are often far off.
 
 use std::collections::HashMap;
 
@@ -7,19 +7,19 @@
 /// Weight of the newest observation.
 const GAIN: f64 = 0.2;
 
-/// Natural logarithm of the largest correction, either way.
+/// Natural logarithm of the largest correction factor, in either direction.
 const LOG_RATIO_MAX: f64 = 4.6;
 
-/// Kinds remembered.
+/// Pairs of team and kind that are kept.
 const KINDS_MAX: usize = 10_000;
 
-/// Observations up to which a kind is forgotten when there are too many.
-const SELDOM: u32 = 4;
+/// At the limit of kinds, those with at most this many observations are removed.
+const EVICTED_OBSERVATIONS_MAX: u32 = 4;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct History {
     log_ratio: f64,
-    observed: u32,
+    observations: u32,
 }
 
 /// Ratios of actual to declared run times, by team and kind.
@@ -29,28 +29,28 @@
 }
 
 impl RunTimeEstimates {
-    /// Learns that a task declared at `declared_ms` ran for `run_ms`.
+    /// Learns that a task with the declared run time `declared_ms` ran for `run_ms`.
     pub fn observe(&mut self, team: &str, kind: &str, declared_ms: u64, run_ms: u64) {
         let key = (CompactString::from(team), CompactString::from(kind));
         if KINDS_MAX <= self.histories.len() && !self.histories.contains_key(&key) {
-            self.histories.retain(|_, it| SELDOM < it.observed);
+            self.histories.retain(|_, it| EVICTED_OBSERVATIONS_MAX < it.observations);
             if KINDS_MAX <= self.histories.len() {
-                // Callers choose kinds; one more than fits is taken as declared.
+                // Clients choose kinds freely; for kinds beyond the limit the declared time is used.
                 return;
             }
         }
-        // The logarithm treats ten times too long and ten times too short alike; the mean of
-        // plain ratios would be carried by the few that ran over.
+        // The logarithm gives equal weight to run times that are ten times too long and ten times
+        // too short; a mean of plain ratios would be dominated by the few that are too long.
         let log_ratio = (run_ms.max(1) as f64 / declared_ms.max(1) as f64)
             .ln()
             .clamp(-LOG_RATIO_MAX, LOG_RATIO_MAX);
         let it = self.histories.entry(key).or_default();
-        it.observed += 1;
-        let gain = GAIN.max(1.0 / f64::from(it.observed + 1));
+        it.observations += 1;
+        let gain = GAIN.max(1.0 / f64::from(it.observations + 1));
         it.log_ratio += (log_ratio - it.log_ratio) * gain;
     }
 
-    /// Returns the run time to expect of a task declared at `declared_ms`.
+    /// Returns the expected run time of a task with the declared run time `declared_ms`.
     ///
     /// ```
     /// use aspenrail::policy::run_times::RunTimeEstimates;
--- a/src/policy/task_queue.rs
+++ b/src/policy/task_queue.rs
@@ -1,8 +1,8 @@
-//! Which waiting task is next.
+//! The order of waiting tasks.
 //!
-//! Teams come first by how little of their quota they use; within a team, urgent work, services
-//! and batch work in danger of missing its class's target go before the rest; within those, a
-//! [`RankingRule`] ranks tasks by size.
+//! Teams are ordered by the share of their quota in use, the smallest first. Within a team, the
+//! order is urgent work, services, batch work about to miss its class's target, other batch work.
+//! Within one such [`Tier`], a [`RankingRule`] orders the tasks.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -17,18 +17,19 @@
     #[default]
     ShortestRemaining,
     /// Least product of size and remaining run time first: the RS rule of Scully,
-    /// "Bounding Mean Slowdown in Multiserver Systems". Measured equal to the simpler rule above.
+    /// "Bounding Mean Slowdown in Multiserver Systems". Results are equal to those of
+    /// [`RankingRule::ShortestRemaining`].
     RemainingTimesSize,
     /// Least run time received first.
     LeastAttained,
 }
 
-/// What the rules know of a waiting task.
+/// The properties of a waiting task by which it is ranked.
 #[derive(Clone, Copy, Debug)]
 pub struct RankingInput {
     /// Expected run time of the whole task.
     pub size_ms: u64,
-    /// Run time kept by its checkpoint.
+    /// Run time that its checkpoint preserves.
     pub attained_ms: u64,
     pub accepted_ms: u64,
 }
@@ -44,12 +45,12 @@
     }
 }
 
-/// What goes first within a team.
+/// The precedence of a task within its team, the highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
     Urgent,
     Service,
-    /// Batch work that misses its class's finish target unless it starts now.
+    /// Batch work that misses the finish target of its class unless it starts now.
     Due,
     Batch,
 }
@@ -72,7 +73,7 @@
     waiting: BTreeSet<(Tier, u64, TaskId)>,
 }
 
-/// A sum of resources wide enough for a whole installation.
+/// A sum of resources, in integers that are wide enough for a whole installation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceTotal {
     pub cpu_millicores: u64,
@@ -93,7 +94,7 @@
         self.accelerators = self.accelerators.saturating_sub(it.accelerators.into());
     }
 
-    /// Returns the largest part of `quota` used, in permille.
+    /// Returns the share of `quota` in use, in permille, for the resource with the largest share.
     pub fn share_permille(self, quota: Resources) -> u64 {
         let share = |used: u64, of: u32| match (used, of) {
             (0, _) => 0,
@@ -115,26 +116,26 @@
 }
 
 impl TaskQueue {
-    /// Sets a team's quota; a team without one gets nothing started.
+    /// Sets a team's quota; no task of a team without a quota starts.
     pub fn set_quota(&mut self, team: &str, quota: Option<Resources>) {
         self.teams.entry(team.into()).or_default().quota = quota;
     }
 
-    /// Returns the teams seen so far.
+    /// Returns all known teams.
     pub fn teams(&self) -> impl Iterator<Item = &CompactString> {
         self.teams.keys()
     }
 
-    /// Counts a task of the team as running, or no longer.
-    pub fn record_run_change(&mut self, team: &str, need: Resources, runs: RunChange) {
+    /// Adds a task to the team's running total, or subtracts it.
+    pub fn record_run_change(&mut self, team: &str, need: Resources, change: RunChange) {
         let running = &mut self.teams.entry(team.into()).or_default().running;
-        match runs {
+        match change {
             RunChange::Started => running.add(need),
             RunChange::Ended => running.subtract(need),
         }
     }
 
-    /// Adds a waiting task, or replaces what was known of it.
+    /// Adds or replaces a waiting task.
     pub fn insert(&mut self, team: &str, it: WaitingTask) {
         self.remove(it.task);
         let queue = self.teams.entry(team.into()).or_default();
@@ -145,7 +146,7 @@
         self.tasks.insert(it.task, (team.into(), it));
     }
 
-    /// Removes a task that no longer waits.
+    /// Removes a task; returns `None` if it was not waiting.
     pub fn remove(&mut self, task: TaskId) -> Option<WaitingTask> {
         let (team, it) = self.tasks.remove(&task)?;
         if let Some(queue) = self.teams.get_mut(&team) {
@@ -157,7 +158,7 @@
         Some(it)
     }
 
-    /// Moves batch tasks that have become due up a tier.
+    /// Moves batch tasks that have become due to [`Tier::Due`].
     pub fn promote_due(&mut self, now_ms: u64) {
         while let Some(&(due_ms, task)) = self.due.first()
             && due_ms <= now_ms
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Returns whether a task waits here.
+    /// Returns whether a task is waiting.
     pub fn contains(&self, task: TaskId) -> bool {
         self.tasks.contains_key(&task)
     }
@@ -180,27 +181,27 @@
         self.tasks.is_empty()
     }
 
-    /// Returns every waiting task with its team, in no order.
+    /// Returns every waiting task with its team, in arbitrary order.
     pub fn iter(&self) -> impl Iterator<Item = (&CompactString, TaskId)> {
         self.tasks.iter().map(|(task, (team, _))| (team, *task))
     }
 
-    /// Returns the tasks waiting by team.
+    /// Returns the number of waiting tasks by team.
     pub fn waiting_by_team(&self) -> impl Iterator<Item = (&CompactString, usize)> {
         self.teams.iter().map(|(name, it)| (name, it.waiting.len()))
     }
 
-    /// Returns a team's share of its quota in use, in permille.
+    /// Returns the share of its quota that a team uses, in permille.
     pub fn share_permille(&self, team: &str) -> u64 {
         let Some(it) = self.teams.get(team) else { return 0 };
         it.quota.map_or(u64::MAX, |quota| it.running.share_permille(quota))
     }
 
-    /// Returns the tasks to try now, at most `limit`, each with what it needs.
+    /// Returns at most `limit` tasks to try to start now, each with the resources that it needs.
     ///
-    /// Teams below their quota take turns, the one with the smallest share first, as if every
-    /// task tried were started. What is left of the VMs then goes to teams above their quota in
-    /// the same way: they borrow, and give back by eviction when an owner needs it.
+    /// Teams below their quota take turns, the one with the smallest share first; each task that
+    /// is returned counts as started. Teams above their quota follow in the same way. They borrow
+    /// the remaining capacity, which eviction takes back when a team below its quota needs it.
     pub fn candidates(&self, limit: usize) -> Vec<StartCandidate> {
         let mut heads: BTreeSet<(bool, bool, u64, &CompactString)> = BTreeSet::new();
         let mut state: HashMap<
@@ -234,19 +235,19 @@
     }
 }
 
-/// Whether a task begins or ends to use its team's quota.
+/// Whether a task starts or stops using the quota of its team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunChange {
     Started,
     Ended,
 }
 
-/// A task to try now.
+/// A task to try to start now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StartCandidate {
     pub task: TaskId,
     pub tier: Tier,
     pub need: Resources,
-    /// Whether its team is above its quota already.
+    /// Whether its team already uses its whole quota.
     pub exceeds_quota: bool,
 }
--- a/src/policy/urgency.rs
+++ b/src/policy/urgency.rs
@@ -1,40 +1,41 @@
-//! The order in which steps of workflows begin.
+//! The order in which steps of workflows start.
 //!
-//! A workflow is worth its full amount up to its objective, a small part for some time after, and
-//! nothing later, so what counts is whether it can still meet the objective.
+//! A workflow earns its full value until its objective, a small part for some time after, and
+//! nothing later. So the order depends on whether a workflow can still meet its objective.
 
-/// What is known of a step that could begin.
+/// The properties of a step that is ready to start.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingStep {
-    /// 0 comes first.
+    /// 0 is the highest.
     pub priority: u32,
-    /// It runs until it is cancelled, and earns for every moment that it is at work.
+    /// Whether the step runs until it is cancelled, and earns for all the time that it runs.
     pub is_long_running: bool,
-    /// When the workflow's objective is over.
+    /// When the time of the workflow's objective ends.
     pub objective_deadline_ms: u64,
-    /// Longest chain of run times from this step on.
+    /// Run time of the critical path from this step on.
     pub remaining_ms: u64,
-    /// Processor time that the whole workflow still needs, by declared run times.
+    /// Remaining processor time of the whole workflow, by declared run times.
     pub work_core_ms: u64,
 }
 
-/// The place of a step in the order; the least begins first.
+/// The sort key of a step; the step with the least key starts first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
     class: u32,
     rank: i64,
 }
 
-/// Returns the place of a step in the order.
+/// Returns the sort key of a step.
 ///
-/// Lasting tasks come first, then by priority; within one priority, what can still meet its
-/// objective comes before what cannot, least slack first.
-pub fn urgency(claim: PendingStep, now_ms: u64) -> Urgency {
-    let slack_ms = claim.objective_deadline_ms as i64 - now_ms as i64 - claim.remaining_ms as i64;
-    let late = u32::from(slack_ms < 0 && !claim.is_long_running);
-    let class = match claim.is_long_running {
+/// Long-running steps come first; the others follow by priority. Within one priority, steps that
+/// can still meet their objective come before late ones. Ties are broken by the least remaining
+/// work of the workflow.
+pub fn urgency(step: PendingStep, now_ms: u64) -> Urgency {
+    let slack_ms = step.objective_deadline_ms as i64 - now_ms as i64 - step.remaining_ms as i64;
+    let late = u32::from(slack_ms < 0 && !step.is_long_running);
+    let class = match step.is_long_running {
         true => 0,
-        false => 1 + claim.priority * 2 + late,
+        false => 1 + step.priority * 2 + late,
     };
-    Urgency { class, rank: claim.work_core_ms as i64 }
+    Urgency { class, rank: step.work_core_ms as i64 }
 }
