--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct FairQueue<K> {
     teams: BTreeMap<CompactString, VecDeque<WaitingRequest<K>>>,
-    /// Count of served requests by team; a team that returns starts at the least of the waiting ones.
+    /// Served requests by team; a returning team starts at least at the minimum of waiting teams.
     served: BTreeMap<CompactString, u64>,
     len: usize,
 }
@@ -88,7 +88,7 @@
             self.len -= usize::from(displaced.is_some());
         }
         if !self.teams.contains_key(team) {
-            // A team that was absent gains no advantage: it starts at the least count of the others.
+            // A returning team gains no advantage: its count is at least the minimum of the others.
             let floor =
                 self.teams.keys().filter_map(|it| self.served.get(it)).min().copied().unwrap_or(0);
             let served = self.served.entry(team.into()).or_insert(floor);
--- a/src/policy/contention/headroom_filter.rs
+++ b/src/policy/contention/headroom_filter.rs
@@ -1,4 +1,5 @@
-//! A Kalman filter for the headroom of one serving image and the costs of fillers beside it.
+//! A Kalman filter for the headroom of one serving image and the costs of best-effort tasks
+//! (fillers) beside it.
 //!
 //! A headroom reading is modelled as the level of its step, which depends on the load, minus the
 //! cost of each filler beside the task. Levels and costs are estimated together. So every task of
@@ -28,8 +29,8 @@
 /// Drift of the level of a step within a second (standard deviation), in addition to its slope.
 const LEVEL_DRIFT_PERCENT: f64 = 15.0;
 
-/// Drift of the slope of a level within a second (standard deviation): the drift for a service
-/// that goes from 20 % to 75 % of its load and back within 14 s.
+/// Drift of the slope of a level within a second (standard deviation): as for a service that goes
+/// from a fifth of its load to three quarters and back within 14 s.
 const SLOPE_DRIFT_PERCENT: f64 = 25.0;
 
 /// Prior standard deviation of the slope of a level, in percent per second.
@@ -45,7 +46,7 @@
 const UNKNOWN_IDLE_DEVIATION_PERCENT: f64 = 150.0;
 
 /// Range of the cost of a core. Estimates for harmless pairs scatter around zero and must be able
-/// to become negative: when clamped at zero in each step, noise raised them from 0.7 to 5 within
+/// to become negative: when clamped at zero at each reading, noise raised them from 0.7 to 5 within
 /// ten seconds, and the daily earnings of the users' 69 VMs fell from 0.71 to 0.67.
 const COST_MAX_PERCENT: f64 = 100.0;
 const COST_MIN_PERCENT: f64 = -50.0;
@@ -78,8 +79,8 @@
 
 /// Filler images and steps that are kept for each serving image. The time for a reading grows with
 /// the square of their number, to at most 3 µs.
-const IMAGES_MAX: usize = 32;
-const GROUPS_MAX: usize = 8;
+const FILLER_IMAGES_MAX: usize = 32;
+const STEPS_MAX: usize = 8;
 
 /// An estimated quantity.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -96,8 +97,8 @@
     /// Returns how many quantities of this kind are kept.
     fn count_max(self) -> usize {
         match self {
-            Quantity::Level(_) | Quantity::Slope(_) => GROUPS_MAX,
-            Quantity::Cost(_) => IMAGES_MAX,
+            Quantity::Level(_) | Quantity::Slope(_) => STEPS_MAX,
+            Quantity::Cost(_) => FILLER_IMAGES_MAX,
         }
     }
 
@@ -115,7 +116,7 @@
 /// A reading of one serving task.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeadroomReading<'a> {
-    pub group: StepRef,
+    pub step: StepRef,
     pub headroom_percent: f64,
     /// Variance of the measurement.
     pub noise: f64,
@@ -143,14 +144,14 @@
     }
 
     /// Returns the idle headroom of a step, if the step was observed.
-    pub(super) fn level_percent(&self, group: StepRef) -> Option<f64> {
-        self.find(Quantity::Level(group)).map(|at| self.means[at])
+    pub(super) fn level_percent(&self, step: StepRef) -> Option<f64> {
+        self.find(Quantity::Level(step)).map(|at| self.means[at])
     }
 
     /// Returns the share of its reservation that a step uses: the idle headroom falls in proportion
     /// to the load, starting from the headroom without load.
-    pub(super) fn cpu_use_share(&self, group: StepRef) -> Option<f64> {
-        let level = self.level_percent(group)?;
+    pub(super) fn cpu_use_share(&self, step: StepRef) -> Option<f64> {
+        let level = self.level_percent(step)?;
         Some((1.0 - level / self.unloaded_percent?).clamp(USE_SHARE_MIN, USE_SHARE_MAX))
     }
 
@@ -189,21 +190,21 @@
     pub(super) fn observe(&mut self, it: &HeadroomReading<'_>, now_ms: u64) {
         self.advance_to(now_ms);
         let level = it.headroom_percent.max(UNKNOWN_IDLE_HEADROOM_PERCENT);
-        let (group, deviation) = (it.group, UNKNOWN_IDLE_DEVIATION_PERCENT);
-        self.find_or_insert(Quantity::Level(group), level, deviation, now_ms);
-        self.find_or_insert(Quantity::Slope(group), 0.0, SLOPE_DEVIATION_PERCENT, now_ms);
+        let (step, deviation) = (it.step, UNKNOWN_IDLE_DEVIATION_PERCENT);
+        self.find_or_insert(Quantity::Level(step), level, deviation, now_ms);
+        self.find_or_insert(Quantity::Slope(step), 0.0, SLOPE_DEVIATION_PERCENT, now_ms);
         for filler in it.fillers {
             let cost = Quantity::Cost(filler.image);
             self.find_or_insert(cost, UNKNOWN_COST_PERCENT, UNKNOWN_COST_DEVIATION_PERCENT, now_ms);
         }
         let weights = self.weights(it);
         self.correct(&weights, it.headroom_percent, it.noise);
-        self.update_unloaded(it.group, now_ms);
+        self.update_unloaded(it.step, now_ms);
     }
 
     /// Updates the headroom of the image without load.
-    fn update_unloaded(&mut self, group: StepRef, now_ms: u64) {
-        let Some(at) = self.find(Quantity::Level(group)) else { return };
+    fn update_unloaded(&mut self, step: StepRef, now_ms: u64) {
+        let Some(at) = self.find(Quantity::Level(step)) else { return };
         if UNLOADED_DEVIATION_MAX_PERCENT * UNLOADED_DEVIATION_MAX_PERCENT
             < self.covariances[at][at]
         {
@@ -219,7 +220,7 @@
     /// Returns the coefficient of each quantity in a reading.
     fn weights(&self, it: &HeadroomReading<'_>) -> Vec<f64> {
         let mut res = vec![0.0; self.quantities.len()];
-        if let Some(at) = self.find(Quantity::Level(it.group)) {
+        if let Some(at) = self.find(Quantity::Level(it.step)) {
             res[at] = 1.0;
         }
         for filler in it.fillers {
@@ -259,8 +260,8 @@
             return;
         }
         for at in 0..self.quantities.len() {
-            if let Quantity::Level(group) = self.quantities[at]
-                && let Some(slope) = self.find(Quantity::Slope(group))
+            if let Quantity::Level(step) = self.quantities[at]
+                && let Some(slope) = self.find(Quantity::Slope(step))
             {
                 self.extrapolate(at, slope, passed_s);
             }
--- a/src/policy/contention/mod.rs
+++ b/src/policy/contention/mod.rs
@@ -175,16 +175,16 @@
     }
 
     /// Returns the idle headroom of the tasks of a step, which run `serving`.
-    pub fn idle_headroom_percent(&self, serving: ImageKey, group: StepRef) -> f64 {
+    pub fn idle_headroom_percent(&self, serving: ImageKey, step: StepRef) -> f64 {
         let filter = self.filters.get(&serving);
-        filter.and_then(|it| it.level_percent(group)).unwrap_or(UNKNOWN_IDLE_HEADROOM_PERCENT)
+        filter.and_then(|it| it.level_percent(step)).unwrap_or(UNKNOWN_IDLE_HEADROOM_PERCENT)
     }
 
     /// Returns the share of its reserved processors that a step uses, derived from its headroom, or
     /// the mean of serving tasks where the headroom is unknown.
-    pub fn cpu_use_share(&self, serving: ImageKey, group: StepRef) -> f64 {
+    pub fn cpu_use_share(&self, serving: ImageKey, step: StepRef) -> f64 {
         let filter = self.filters.get(&serving);
-        filter.and_then(|it| it.cpu_use_share(group)).unwrap_or(MEAN_CPU_USE_SHARE)
+        filter.and_then(|it| it.cpu_use_share(step)).unwrap_or(MEAN_CPU_USE_SHARE)
     }
 
     /// Returns the headroom that `fillers` use of `serving` together, in percent.
@@ -242,7 +242,7 @@
             return;
         }
         let reading = HeadroomReading {
-            group: StepRef::of_task(it.run.task),
+            step: StepRef::of_task(it.run.task),
             headroom_percent: it.headroom_percent,
             noise: noise(it.headroom_percent, passed_ms),
             fillers,
--- a/src/policy/contention/similarity.rs
+++ b/src/policy/contention/similarity.rs
@@ -1,11 +1,11 @@
 //! Estimates for pairs of images with few or no readings, derived from similar images.
 //!
-//! Fillers and services contend for a few shared resources of a VM, so images form groups: on the
-//! users' VMs each filler image costs a service either about 1 or 8 to 20 % of headroom per core,
-//! and images that are expensive for one service are expensive for the same other services. The
-//! cost of an unobserved pair is estimated from the rows and columns that match its own row and
-//! column in the pairs that both have. Without a match, the estimate consists of the pair's own
-//! readings and the prior for unknown pairs.
+//! Best-effort tasks (fillers) and services contend for a few shared resources of a VM, so images
+//! form groups: on the users' VMs each filler image costs a service either about 1 or 8 to 20 % of
+//! headroom per core, and images that are expensive for one service are expensive for the same
+//! other services. The costs are a table with a row per service and a column per filler image. An
+//! unobserved pair is estimated from rows and columns that agree with its own where both are known.
+//! Without any, the estimate consists of the pair's own readings and the prior for unknown pairs.
 
 use crate::policy::contention::{
     headroom_filter::{UNKNOWN_COST_DEVIATION_PERCENT, UNKNOWN_COST_PERCENT},
--- a/src/policy/crash_evidence.rs
+++ b/src/policy/crash_evidence.rs
@@ -27,8 +27,8 @@
 /// partitioned node.
 const CRASHES_MAX: u32 = 4;
 
-/// Crashes in a row from which a task starts only in a quiet period. One more crash ends the task,
-/// so that crash must not have another cause.
+/// Crashes in a row from which a task starts only in a quiet period. After one more crash
+/// the task is given up, so that crash must not have another cause.
 const QUIET_PERIOD_CRASHES: u32 = CRASHES_MAX - 1;
 
 /// Time without worker crashes that counts as a quiet period. Users allow a workflow to be without
@@ -43,8 +43,9 @@
 const FIRST_CRASH_RATIO_MAX: f64 = 500.0;
 const LATER_CRASH_RATIO_MAX: f64 = 40.0;
 
-/// How far apart the crash ages of one task lie, as reported to the leader by nodes that detect
-/// the loss of a worker: several checks of the worker and two network hops.
+/// Largest difference of the crash ages of one task, as the leader learns them from nodes that
+/// detect the loss of a worker (several checks and two network hops), and the share of crashes
+/// within it.
 const DETECTION_SPREAD_MS: u64 = 150;
 const DETECTION_SHARE: f64 = 0.6;
 
@@ -52,7 +53,7 @@
 const SLOW_DETECTION_SPREAD_MS: u64 = 1_000;
 const SLOW_DETECTION_SHARE: f64 = 0.25;
 
-/// Share of the crashes whose ages are unrelated, for example since an order was executed late.
+/// Share of the crashes whose ages are unrelated, as after an order that was executed late.
 const UNRELATED_AGE_SHARE: f64 = 1.0 - DETECTION_SHARE - SLOW_DETECTION_SHARE;
 
 /// Age up to which half of the tasks that crash their workers are expected to do so.
@@ -117,7 +118,7 @@
 pub struct CrashEvidence {
     #[serde(rename = "losses")]
     pub crashes_in_row: u32,
-    /// Runs in the same time that ended since their worker became silent and may have crashed.
+    /// Runs since the task was last cleared whose worker became silent, and so may have crashed.
     #[serde(rename = "silent")]
     silent_workers: u32,
     #[serde(rename = "odds")]
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -110,7 +110,7 @@
                 examined.map(|(_, vm)| *vm).filter(fitting).take(CANDIDATES).collect()
             }
             PlacementStrategy::Spread => {
-                // Keeps all examined VMs that fit, since a few may lie in one availability zone.
+                // Keeps all examined VMs that fit: a few could all be in one availability zone.
                 let examined = self.by_cpu.range(range).rev().take(EXAMINED_MAX);
                 examined.map(|(_, vm)| *vm).filter(fitting).collect()
             }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Records a failure. An endpoint is not newly ejected if `others_ejected_permille`, the share of
-    /// other endpoints that are ejected, is at least 500, so that some endpoints always remain.
+    /// Records a failure. An open endpoint is not ejected if at least half of the other endpoints
+    /// are (`others_ejected_permille`), so that some endpoints always remain.
     pub fn note_failure(&mut self, now_ms: u64, others_ejected_permille: u32) {
         self.failures_in_row += 1;
         let is_failed_probe = self.health == Health::HalfOpen;
--- a/src/policy/routing.rs
+++ b/src/policy/routing.rs
@@ -11,7 +11,7 @@
 const REPORT_HALF_LIFE_MS: f64 = 200.0;
 
 /// Round-trip time to another availability zone.
-const HOP_MS: f64 = 3.0;
+const ZONE_ROUND_TRIP_MS: f64 = 3.0;
 
 /// The state of one endpoint as known to an entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -39,8 +39,8 @@
     // answered. The second term, 0.1 times the utilization, spreads requests over endpoints with
     // free slots.
     let waiting_rounds = ((load + 1.0 - slots) / slots).max(0.0) + 0.1 * load / slots;
-    let hop_ms = if it.same_zone { 0.0 } else { HOP_MS };
-    it.answer_ms.max(0.1) * (1.0 + waiting_rounds) + hop_ms
+    let round_trip_ms = if it.same_zone { 0.0 } else { ZONE_ROUND_TRIP_MS };
+    it.answer_ms.max(0.1) * (1.0 + waiting_rounds) + round_trip_ms
 }
 
 /// Returns the index of the view with the least expected answer time.
--- a/src/policy/run_times.rs
+++ b/src/policy/run_times.rs
@@ -35,7 +35,7 @@
         if KINDS_MAX <= self.histories.len() && !self.histories.contains_key(&key) {
             self.histories.retain(|_, it| EVICTED_OBSERVATIONS_MAX < it.observations);
             if KINDS_MAX <= self.histories.len() {
-                // Clients choose kinds freely; for kinds beyond the limit the declared time is used.
+                // Clients choose kinds freely; beyond the limit the declared time is used.
                 return;
             }
         }
--- a/src/policy/throttling.rs
+++ b/src/policy/throttling.rs
@@ -40,9 +40,10 @@
 /// reading, without fillers that have just ended, explains 17 %.
 const TAIL_WINDOW_MS: u64 = 700;
 
-/// Readings of at least this share of the expected usage are treated as the expected usage:
-/// readings of a filler at full speed scatter between 0.67 and 1.1 of it.
-const RELIABLE_SHARE_MAX: f64 = 0.6;
+/// Readings below this share of the expected usage are used as measured. Others count as the
+/// expected usage, since readings of a filler at full speed scatter between two thirds and 1.1 of
+/// it.
+const MEASURED_SHARE_MAX: f64 = 0.6;
 
 /// Headroom that a filler at full speed may use of a task without being throttled: less than
 /// a single reading can show.
@@ -50,7 +51,7 @@
 
 /// Divisor of `harm_max_ms`: a task over its bound for this part of it suspends the fillers that
 /// use its headroom. The effect of a suspension shows 0.5 s later.
-const SUSPEND_USERS_DIVISOR: u64 = 4;
+const SUSPEND_RELEVANT_DIVISOR: u64 = 4;
 
 /// The same for the suspension of all fillers, since the estimated costs must be wrong.
 const SUSPEND_ALL_DIVISOR: u64 = 2;
@@ -101,7 +102,7 @@
 
     /// Records a noisy reading, given the expected usage at the speed that was ordered.
     pub fn observe(&mut self, read_cores: f64, expected_cores: f64, now_ms: u64) {
-        let is_short_of_cpu = read_cores < expected_cores * RELIABLE_SHARE_MAX;
+        let is_short_of_cpu = read_cores < expected_cores * MEASURED_SHARE_MAX;
         let cores = if is_short_of_cpu { read_cores } else { expected_cores };
         self.intervals.push(UsageInterval { start_ms: self.at_ms, end_ms: now_ms, cores });
         self.at_ms = now_ms;
@@ -232,7 +233,7 @@
         if serving.iter().any(|it| self.harm_max_ms / SUSPEND_ALL_DIVISOR <= over_ms(it)) {
             self.suspended_until_ms = now_ms + SUSPENSION_MS;
         }
-        let over_max_ms = self.harm_max_ms / SUSPEND_USERS_DIVISOR;
+        let over_max_ms = self.harm_max_ms / SUSPEND_RELEVANT_DIVISOR;
         let mut speeds = speeds_within(&available_percents, fillers);
         for (at, _) in serving.iter().enumerate().filter(|(_, it)| over_max_ms <= over_ms(it)) {
             let is_relevant = |it: &FillerReading| NEGLIGIBLE_COST_PERCENT < it.used_percent(at);
