--- a/src/control/state/claims.rs
+++ b/src/control/state/claims.rs
@@ -23,17 +23,16 @@
         self.claims.is_empty()
     }
 
-    /// Claims a key, or answers with the claim that stands.
+    /// Claims a key, or returns the existing claim.
     ///
-    /// The caller of this sees from the attempt and the request in the answer whether it holds
-    /// the claim.
-    pub(super) fn claim(&mut self, it: &ClaimCommand, time_ms: u64) -> ReplyResult {
-        let key = (it.team.clone(), it.key.clone());
+    /// The caller holds the claim if the attempt and the request in the reply are its own.
+    pub(super) fn claim(&mut self, command: &ClaimCommand, time_ms: u64) -> ReplyResult {
+        let key = (command.team.clone(), command.key.clone());
         let last_attempt = match self.claims.get(&key) {
-            Some(claim) if claim.digest != it.digest => {
+            Some(claim) if claim.digest != command.digest => {
                 return Err(refusal(
                     ErrorKind::KeyReused,
-                    format_compact!("key {} names another request", it.key),
+                    format_compact!("key {} names another request", command.key),
                 ));
             }
             Some(claim) if claim.state != ClaimState::NotRun => {
@@ -42,8 +41,8 @@
             Some(claim) => claim.attempt,
             None => 0,
         };
-        if it.attempt != last_attempt + 1 {
-            // Of two that saw the same free claim one has won meanwhile, and lost it again.
+        if command.attempt != last_attempt + 1 {
+            // Another request that saw the same free claim has won it meanwhile and released it.
             return Err(refusal_with_retry_after(
                 ErrorKind::ClaimInProgress,
                 "the claim moved on",
@@ -51,12 +50,12 @@
             ));
         }
         let claim = Claim {
-            digest: it.digest,
-            attempt: it.attempt,
-            request: it.request,
-            entry: it.entry,
-            endpoint: it.endpoint,
-            agent: it.agent,
+            digest: command.digest,
+            attempt: command.attempt,
+            request: command.request,
+            entry: command.entry,
+            endpoint: command.endpoint,
+            agent: command.agent,
             state: ClaimState::Claimed,
             changed_ms: time_ms,
         };
@@ -64,19 +63,20 @@
         Ok(Reply::Claim(claim))
     }
 
-    /// Records how a claimed attempt ended; the first word stands.
-    pub(super) fn settle(&mut self, it: &SettleCommand, time_ms: u64) -> ReplyResult {
-        let Some(claim) = self.claims.get_mut(&(it.team.clone(), it.key.clone())) else {
+    /// Records how a claimed attempt ended. The first outcome is kept, unless an answer follows
+    /// `Unknown`.
+    pub(super) fn settle(&mut self, command: &SettleCommand, time_ms: u64) -> ReplyResult {
+        let Some(claim) = self.claims.get_mut(&(command.team.clone(), command.key.clone())) else {
             return Err(refusal(
                 ErrorKind::NotFound,
-                format_compact!("key {} is not claimed", it.key),
+                format_compact!("key {} is not claimed", command.key),
             ));
         };
-        if claim.attempt == it.attempt {
-            let next = match (&claim.state, &it.outcome) {
+        if claim.attempt == command.attempt {
+            let next = match (&claim.state, &command.outcome) {
                 (ClaimState::Claimed, ClaimOutcome::NotRun) => Some(ClaimState::NotRun),
                 (ClaimState::Claimed, ClaimOutcome::Unknown) => Some(ClaimState::Unknown),
-                // An answer that arrives after all is better than not knowing.
+                // A late answer is better than an unknown outcome.
                 (ClaimState::Claimed | ClaimState::Unknown, ClaimOutcome::Done(answer)) => {
                     Some(ClaimState::Done(answer.clone()))
                 }
@@ -90,19 +90,19 @@
         Ok(Reply::Claim(claim.clone()))
     }
 
-    /// Settles the open claims of a session that ended: its agent can no longer be asked.
+    /// Settles the open claims of an ended session as unknown: its agent can no longer be queried.
     ///
-    /// This costs a scan, which is rare (a VM's end) and bounded by the table of claims.
+    /// This scans all claims, which is rare (when a VM is gone) and bounded by the table's limit.
     pub(super) fn end_session(&mut self, session: SessionId, time_ms: u64) {
         let open = self.claims.values_mut().filter(|it| it.state == ClaimState::Claimed);
-        for it in open.filter(|it| it.endpoint.session == session) {
-            it.state = ClaimState::Unknown;
-            it.changed_ms = time_ms;
+        for claim in open.filter(|it| it.endpoint.session == session) {
+            claim.state = ClaimState::Unknown;
+            claim.changed_ms = time_ms;
         }
     }
 
-    /// Forgets claims settled before `before_ms`. An open claim is kept however old it is: its
-    /// request may yet run.
+    /// Forgets claims settled before `before_ms`. An open claim is kept at any age, since its
+    /// request may still run.
     pub(super) fn expire(&mut self, before_ms: u64) {
         self.claims.retain(|_, it| it.state == ClaimState::Claimed || before_ms <= it.changed_ms);
     }
--- a/src/control/state/configuration.rs
+++ b/src/control/state/configuration.rs
@@ -7,10 +7,10 @@
     prelude::*,
 };
 
-/// Changes kept to be shown, and to answer resends.
+/// Changes kept for display and for recognising resent commands.
 const HISTORY_MAX: usize = 2_000;
 
-/// Teams and classes that a configuration may hold, so that it fits one message.
+/// Maximum number of teams and of classes, so that a configuration fits into one message.
 const ITEMS_MAX: usize = 1_000;
 
 /// One accepted change.
@@ -47,27 +47,29 @@
 impl State {
     pub(super) fn configure(
         &mut self,
-        it: &ConfigureCommand,
+        command: &ConfigureCommand,
         changes: &mut Vec<Change>,
     ) -> ReplyResult {
-        // A resend is recognised before the revision is compared: its own first success moved it.
-        let earlier =
-            self.history.iter().find(|row| row.operator == it.operator && row.key == it.key);
-        if let Some(row) = earlier {
-            return match row.change == it.change && row.based_on == it.based_on {
+        // Checked before the revision, which the first success of a resent command has changed.
+        let applied = self
+            .history
+            .iter()
+            .find(|row| row.operator == command.operator && row.key == command.key);
+        if let Some(row) = applied {
+            return match row.change == command.change && row.based_on == command.based_on {
                 true => Ok(Reply::Configured(row.revision)),
                 false => Err(refusal(
                     ErrorKind::KeyReused,
-                    format_compact!("key {} made another change", it.key),
+                    format_compact!("key {} made another change", command.key),
                 )),
             };
         }
-        if it.based_on != self.configuration.revision {
-            return Err(self.conflict(it));
+        if command.based_on != self.configuration.revision {
+            return Err(self.revision_conflict(command));
         }
-        check_change(&it.change)?;
+        check_change(&command.change)?;
         let Configuration { teams, classes, .. } = &mut self.configuration;
-        match &it.change {
+        match &command.change {
             ConfigChange::PutTeam(team) => put(teams, team, |it| &it.name)?,
             ConfigChange::PutClass(class) => put(classes, class, |it| &it.name)?,
             ConfigChange::DeleteTeam(name) => delete(teams, name, |it| &it.name)?,
@@ -77,45 +79,47 @@
         self.configuration.revision = revision;
         self.history.push(ConfigHistoryEntry {
             revision,
-            based_on: it.based_on,
-            operator: it.operator.clone(),
-            key: it.key.clone(),
-            change: it.change.clone(),
+            based_on: command.based_on,
+            operator: command.operator.clone(),
+            key: command.key.clone(),
+            change: command.change.clone(),
             at_ms: self.time_ms,
         });
         changes.push(Change::Configuration);
         Ok(Reply::Configured(revision))
     }
 
-    fn conflict(&self, it: &ConfigureCommand) -> Refusal {
-        let winner = self.history.iter().next_back().map(|row| {
+    fn revision_conflict(&self, command: &ConfigureCommand) -> Refusal {
+        let last_change = self.history.iter().next_back().map(|row| {
             let change = serde_json::to_string(&row.change).unwrap_or_default();
             format!("; revision {} by {} is {change}", row.revision, row.operator)
         });
         let detail = format!(
             "the change is based on revision {}, in force is {}{}",
-            it.based_on,
+            command.based_on,
             self.configuration.revision,
-            winner.unwrap_or_default()
+            last_change.unwrap_or_default()
         );
         refusal(ErrorKind::RevisionConflict, detail)
     }
 }
 
-/// Checks the values of a change by themselves.
+/// Checks the values of a change without regard to the configuration in force.
 fn check_change(change: &ConfigChange) -> Result<(), Refusal> {
-    let bad = |detail: &str| Err(refusal(ErrorKind::BadRequest, detail));
+    let bad_request = |detail: &str| Err(refusal(ErrorKind::BadRequest, detail));
     match change {
-        ConfigChange::PutTeam(it) if it.name.is_empty() => bad("a team needs a name"),
-        ConfigChange::PutClass(it) if it.name.is_empty() => bad("a class needs a name"),
+        ConfigChange::PutTeam(it) if it.name.is_empty() => bad_request("a team needs a name"),
+        ConfigChange::PutClass(it) if it.name.is_empty() => bad_request("a class needs a name"),
         ConfigChange::PutClass(it) if 999 < it.answer_percentile_permille => {
-            bad("answer_percentile_permille is out of range 0 to 999")
+            bad_request("answer_percentile_permille is out of range 0 to 999")
         }
         ConfigChange::PutClass(it)
             if it.kind == ClassKind::LatencyCritical
                 && (it.answer_target_ms == 0 || it.deadline_max_ms == 0) =>
         {
-            bad("a latency_critical class needs answer_target_ms and deadline_max_ms above 0")
+            bad_request(
+                "a latency_critical class needs answer_target_ms and deadline_max_ms above 0",
+            )
         }
         _ => Ok(()),
     }
@@ -127,7 +131,7 @@
     name_of: fn(&T) -> &CompactString,
 ) -> Result<(), Refusal> {
     match list.iter().position(|it| name_of(it) == name_of(item)) {
-        Some(at) => list[at] = item.clone(),
+        Some(index) => list[index] = item.clone(),
         None if ITEMS_MAX <= list.len() => {
             return Err(refusal(
                 ErrorKind::TableFull,
@@ -144,9 +148,9 @@
     name: &str,
     name_of: fn(&T) -> &CompactString,
 ) -> Result<(), Refusal> {
-    let Some(at) = list.iter().position(|it| name_of(it) == name) else {
+    let Some(index) = list.iter().position(|it| name_of(it) == name) else {
         return Err(refusal(ErrorKind::NotFound, format_compact!("nothing is named {name}")));
     };
-    list.remove(at);
+    list.remove(index);
     Ok(())
 }
--- a/src/control/state/jobs.rs
+++ b/src/control/state/jobs.rs
@@ -12,7 +12,7 @@
     util::Place,
 };
 
-/// Tasks that one job may have, so that one command stays small work.
+/// Maximum number of tasks in a job, so that one command is applied quickly.
 const TASKS_PER_JOB_MAX: u32 = 10_000;
 
 /// An accepted job.
@@ -45,8 +45,10 @@
     open_by_team: BTreeMap<CompactString, u32>,
     /// Finished jobs by time, for expiry without a scan.
     finished: BTreeMap<(u64, JobId), ()>,
-    next_job: u64,
-    next_task: u64,
+    #[serde(rename = "next_job")]
+    last_job_index: u64,
+    #[serde(rename = "next_task")]
+    last_task_index: u64,
 }
 
 impl Jobs {
@@ -78,17 +80,16 @@
         self.tasks.len()
     }
 
-    /// Returns the job of a task.
     pub fn job_of(&self, task: &Task) -> Option<&Job> {
         self.jobs.get(&task.job)
     }
 
-    /// Returns what a task needs.
+    /// Returns the resources that a task needs.
     pub fn need_of(&self, task: &Task) -> Resources {
         self.job_of(task).map_or(vms::NO_RESOURCES, |it| it.spec.resources)
     }
 
-    /// Returns the jobs of a team that are not finished.
+    /// Returns the number of a team's unfinished jobs.
     pub fn open_jobs_of(&self, team: &str) -> u32 {
         self.open_by_team.get(team).copied().unwrap_or(0)
     }
@@ -99,25 +100,25 @@
         {
             self.finished.pop_first();
             let Some(job) = self.jobs.remove(&id) else { continue };
-            for it in job.task_ids() {
-                self.tasks.remove(&it);
+            for task in job.task_ids() {
+                self.tasks.remove(&task);
             }
             self.by_key.remove(&(job.team, job.key));
         }
     }
 
-    fn accept(&mut self, group_id: Place, it: &SubmitCommand, time_ms: u64) -> JobId {
-        self.next_job += 1;
-        let id = JobId(group_id.pack(self.next_job));
-        let first_task = TaskId(group_id.pack(self.next_task + 1));
-        self.next_task += u64::from(it.spec.tasks);
+    fn accept(&mut self, group_id: Place, command: &SubmitCommand, time_ms: u64) -> JobId {
+        self.last_job_index += 1;
+        let id = JobId(group_id.pack(self.last_job_index));
+        let first_task = TaskId(group_id.pack(self.last_task_index + 1));
+        self.last_task_index += u64::from(command.spec.tasks);
         let job = Job {
             id,
-            team: it.team.clone(),
-            key: it.key.clone(),
-            spec: it.spec.clone(),
+            team: command.team.clone(),
+            key: command.key.clone(),
+            spec: command.spec.clone(),
             first_task,
-            tasks_open: it.spec.tasks,
+            tasks_open: command.spec.tasks,
             accepted_ms: time_ms,
             finished_ms: None,
         };
@@ -137,13 +138,13 @@
             };
             self.tasks.insert(task.id, task);
         }
-        self.by_key.insert((it.team.clone(), it.key.clone()), id);
-        *self.open_by_team.entry(it.team.clone()).or_insert(0) += 1;
+        self.by_key.insert((command.team.clone(), command.key.clone()), id);
+        *self.open_by_team.entry(command.team.clone()).or_insert(0) += 1;
         self.jobs.insert(id, job);
         id
     }
 
-    /// Counts a task that reached a final state; returns the job if that finished it.
+    /// Counts a task that reached a final state. Returns the job if all its tasks have.
     fn close_task(&mut self, id: JobId, time_ms: u64) -> Option<&Job> {
         let job = self.jobs.get_mut(&id)?;
         job.tasks_open -= 1;
@@ -152,9 +153,9 @@
         }
         job.finished_ms = Some(time_ms);
         self.finished.insert((time_ms, id), ());
-        if let Some(it) = self.open_by_team.get_mut(&job.team) {
-            *it -= 1;
-            if *it == 0 {
+        if let Some(open_jobs) = self.open_by_team.get_mut(&job.team) {
+            *open_jobs -= 1;
+            if *open_jobs == 0 {
                 self.open_by_team.remove(&job.team);
             }
         }
@@ -163,18 +164,22 @@
 }
 
 impl State {
-    pub(super) fn submit(&mut self, it: &SubmitCommand, changes: &mut Vec<Change>) -> ReplyResult {
-        if let Some(&job) = self.jobs.by_key.get(&(it.team.clone(), it.key.clone())) {
-            return match self.jobs.job(job).is_some_and(|job| job.spec == it.spec) {
+    pub(super) fn submit(
+        &mut self,
+        command: &SubmitCommand,
+        changes: &mut Vec<Change>,
+    ) -> ReplyResult {
+        if let Some(&job) = self.jobs.by_key.get(&(command.team.clone(), command.key.clone())) {
+            return match self.jobs.job(job).is_some_and(|job| job.spec == command.spec) {
                 true => Ok(Reply::JobAccepted(JobAccepted { job, resent: true })),
                 false => Err(refusal(
                     ErrorKind::KeyReused,
-                    format_compact!("key {} names another job", it.key),
+                    format_compact!("key {} names another job", command.key),
                 )),
             };
         }
-        self.check_feasible(it)?;
-        let id = self.jobs.accept(self.group_id, it, self.time_ms);
+        self.check_feasible(command)?;
+        let id = self.jobs.accept(self.group_id, command, self.time_ms);
         if let Some(job) = self.jobs.job(id) {
             changes.extend(job.task_ids().map(Change::Task));
         }
@@ -182,13 +187,14 @@
         Ok(Reply::JobAccepted(JobAccepted { job: id, resent: false }))
     }
 
-    /// Refuses what can never run, so that it does not wait for ever.
-    fn check_feasible(&self, it: &SubmitCommand) -> Result<(), Refusal> {
-        let spec = &it.spec;
-        let Some(team) = self.team(&it.team) else {
+    /// Refuses a job that could never run and would wait forever, and one above the team's quota
+    /// of open jobs.
+    fn check_feasible(&self, command: &SubmitCommand) -> Result<(), Refusal> {
+        let spec = &command.spec;
+        let Some(team) = self.team(&command.team) else {
             return Err(refusal(
                 ErrorKind::UnknownTeam,
-                format_compact!("no team is named {}", it.team),
+                format_compact!("no team is named {}", command.team),
             ));
         };
         if self.class(&spec.class).is_none() {
@@ -215,7 +221,7 @@
         if vms.peek().is_some() && !vms.any(|vm| fits(spec.resources, vm.capacity)) {
             return Err(refusal(ErrorKind::Infeasible, "one task is larger than any VM"));
         }
-        if team.jobs_open_max <= self.jobs.open_jobs_of(&it.team) {
+        if team.jobs_open_max <= self.jobs.open_jobs_of(&command.team) {
             let detail = format_compact!(
                 "team {} has {} jobs open, its most",
                 team.name,
@@ -226,13 +232,17 @@
         Ok(())
     }
 
-    pub(super) fn cancel(&mut self, it: &CancelCommand, changes: &mut Vec<Change>) -> ReplyResult {
+    pub(super) fn cancel(
+        &mut self,
+        command: &CancelCommand,
+        changes: &mut Vec<Change>,
+    ) -> ReplyResult {
         let mut completed = 0;
-        for id in &it.jobs {
-            let Some(job) = self.jobs.job(*id).filter(|job| job.team == it.team) else {
+        for id in &command.jobs {
+            let Some(job) = self.jobs.job(*id).filter(|job| job.team == command.team) else {
                 return Err(refusal(
                     ErrorKind::NotFound,
-                    format_compact!("team {} has no job {id}", it.team),
+                    format_compact!("team {} has no job {id}", command.team),
                 ));
             };
             let ids: Vec<_> = job.task_ids().collect();
@@ -242,49 +252,60 @@
                 self.apply_transition(task, TaskTransition::Cancel, changes);
             }
         }
-        if completed as usize == it.jobs.len() {
-            // The completion won; whoever cancels learns it, and the result stays readable.
+        if completed as usize == command.jobs.len() {
+            // The jobs completed first. The refusal says so, and the results stay readable.
             return Err(refusal(ErrorKind::AlreadyFinished, "every job named had completed"));
         }
         Ok(Reply::Done)
     }
 
-    pub(super) fn start(&mut self, it: &StartCommand, changes: &mut Vec<Change>) -> ReplyResult {
+    pub(super) fn start(
+        &mut self,
+        command: &StartCommand,
+        changes: &mut Vec<Change>,
+    ) -> ReplyResult {
         let refused = |detail: &str| Err(refusal(ErrorKind::StaleSession, detail));
-        let Some(task) = self.jobs.task(it.task) else { return refused("no such task") };
-        if task.incarnation + 1 != it.incarnation || !task.state.is_waiting() {
+        let Some(task) = self.jobs.task(command.task) else { return refused("no such task") };
+        if task.incarnation + 1 != command.incarnation || !task.state.is_waiting() {
             return refused("the task moved on");
         }
         let need = self.jobs.need_of(task);
-        let Some(vm) = self.vms.get(it.vm) else { return refused("no such VM") };
-        if vm.session.as_ref().is_none_or(|session| session.id != it.session) {
+        let Some(vm) = self.vms.get(command.vm) else { return refused("no such VM") };
+        if vm.session.as_ref().is_none_or(|session| session.id != command.session) {
             return refused("the VM's session ended");
         }
         if !vm.has_capacity_for(need) || self.workflows.evacuations().contains(&vm.zone) {
             return refused("the VM is full, draining, in quarantine or in a zone out of use");
         }
-        self.vms.reserve(it.vm, it.task, need);
-        let placement =
-            Placement { vm: it.vm, session: it.session, since_ms: self.time_ms, inherited: false };
-        if let Some(task) = self.jobs.tasks.get_mut(&it.task) {
-            task.incarnation = it.incarnation;
+        self.vms.reserve(command.vm, command.task, need);
+        let placement = Placement {
+            vm: command.vm,
+            session: command.session,
+            since_ms: self.time_ms,
+            inherited: false,
+        };
+        if let Some(task) = self.jobs.tasks.get_mut(&command.task) {
+            task.incarnation = command.incarnation;
             task.placement = Some(placement);
         }
-        self.apply_transition(it.task, TaskTransition::Start, changes);
+        self.apply_transition(command.task, TaskTransition::Start, changes);
         Ok(Reply::Done)
     }
 
     pub(super) fn task_event(
         &mut self,
-        it: &TaskEventCommand,
+        command: &TaskEventCommand,
         changes: &mut Vec<Change>,
     ) -> ReplyResult {
-        let current =
-            self.jobs.tasks.get_mut(&it.task).filter(|task| task.incarnation == it.incarnation);
+        let current = self
+            .jobs
+            .tasks
+            .get_mut(&command.task)
+            .filter(|task| task.incarnation == command.incarnation);
         let Some(task) = current else {
             return Err(refusal(ErrorKind::StaleSession, "the task has another incarnation"));
         };
-        let transition = match &it.event {
+        let transition = match &command.event {
             TaskEvent::Running => TaskTransition::Running,
             TaskEvent::Completed(_) => TaskTransition::Completed,
             TaskEvent::Failed(_) => TaskTransition::Failed,
@@ -298,7 +319,7 @@
             return Err(refusal(ErrorKind::AlreadyFinished, detail));
         }
         let vm = task.placement.map(|it| it.vm);
-        match &it.event {
+        match &command.event {
             TaskEvent::Completed(done) => task.detail = done.result.clone(),
             TaskEvent::Failed(reason) | TaskEvent::DeadLetter(reason) => {
                 task.detail = reason.clone()
@@ -318,11 +339,12 @@
             self.vms.note_outcome(vm, transition == TaskTransition::Completed, self.time_ms);
             changes.push(Change::Vm(vm));
         }
-        self.apply_transition(it.task, transition, changes);
+        self.apply_transition(command.task, transition, changes);
         Ok(Reply::Done)
     }
 
-    /// Moves one task along the table, and keeps ledger and job in step with it.
+    /// Applies a transition to a task if its state allows it, and updates the reservations and the
+    /// job to match.
     pub(super) fn apply_transition(
         &mut self,
         id: TaskId,
@@ -350,9 +372,9 @@
         if before.holds_resources() && !next.holds_resources() {
             let placement = task.placement.take();
             let need = self.jobs.jobs.get(&job).map_or(vms::NO_RESOURCES, |it| it.spec.resources);
-            if let Some(it) = placement {
-                self.vms.release(it.vm, id, need);
-                changes.push(Change::Vm(it.vm));
+            if let Some(placement) = placement {
+                self.vms.release(placement.vm, id, need);
+                changes.push(Change::Vm(placement.vm));
             }
         }
         if next.is_final() && self.jobs.close_task(job, time_ms).is_some() {
@@ -360,8 +382,8 @@
         }
     }
 
-    /// Moves the tasks of a superseded session to the one that took over its VM.
-    pub(super) fn hand_tasks_over(&mut self, vm: VmId, session: SessionId) {
+    /// Transfers the tasks on a VM to the session that superseded the previous one.
+    pub(super) fn transfer_tasks(&mut self, vm: VmId, session: SessionId) {
         let ids: Vec<_> = self.vms.get(vm).iter().flat_map(|it| it.tasks.iter().copied()).collect();
         for id in ids {
             if let Some(placement) =
@@ -373,10 +395,10 @@
         }
     }
 
-    /// Tells the watches on a job's subject.
-    fn notify(&mut self, id: JobId, word: &str) {
+    /// Publishes a job event to the watches on the job's subject.
+    fn notify(&mut self, id: JobId, event: &str) {
         let Some(job) = self.jobs.jobs.get(&id) else { return };
-        let body = format_compact!("{{\"job\":{id},\"event\":\"{word}\"}}");
-        self.watches.tell(&job.team, &job.spec.subject, &body, self.time_ms);
+        let body = format_compact!("{{\"job\":{id},\"event\":\"{event}\"}}");
+        self.watches.notify(&job.team, &job.spec.subject, &body, self.time_ms);
     }
 }
--- a/src/control/state/mod.rs
+++ b/src/control/state/mod.rs
@@ -1,9 +1,9 @@
-//! The replicated state: what the log's commands add up to.
+//! The replicated state: the result of applying the log's commands in order.
 //!
-//! [`State::apply`] is a function of the commands alone: it reads no clock, no settings and no
-//! random number, so that every member comes to the same state. Limits that are settings are
-//! checked by the leader before it proposes. What must hold whatever the leader decides (no VM
-//! overfilled, no task in two places, one winner of each race) is checked here once more.
+//! [`State::apply`] depends on the commands alone: it reads no clock, no settings and no random
+//! number, so that every member reaches the same state. The leader checks limits from settings
+//! before it proposes a command. The invariants (no VM overfilled, no task in two places, one
+//! winner of each race) are also checked here, so that they hold whatever a leader proposes.
 
 mod claims;
 mod configuration;
@@ -30,7 +30,7 @@
     },
 };
 
-/// What a command changed, for indexes that are kept beside the state.
+/// An object that a command changed, for indexes kept outside the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     Task(TaskId),
@@ -38,10 +38,10 @@
     Configuration,
 }
 
-/// Bytes that snapshots of earlier versions lack at their end, all zero where there is nothing:
-/// three for failures, three before it for suspected tasks, and two before these for
+/// Numbers of bytes that snapshots of earlier versions lack at their end. Empty fields are encoded
+/// as zeros: 3 bytes for failures, before them 3 for suspected tasks, and before these 2 for
 /// evacuations.
-const MISSING_TAILS: [usize; 3] = [3, 6, 8];
+const MISSING_TAIL_BYTES: [usize; 3] = [3, 6, 8];
 
 /// The outcome of one command.
 pub type ReplyResult = Result<Reply, Refusal>;
@@ -63,7 +63,7 @@
 }
 
 impl State {
-    /// Makes the state before the first command.
+    /// Creates the state before the first command.
     pub fn new(group_id: Place) -> State {
         State {
             group_id,
@@ -93,12 +93,10 @@
         self.time_ms
     }
 
-    /// Returns a team by name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.configuration.teams.iter().find(|it| it.name == name)
     }
 
-    /// Returns a class by name.
     pub fn class(&self, name: &str) -> Option<&Class> {
         self.configuration.classes.iter().find(|it| it.name == name)
     }
@@ -127,7 +125,7 @@
             Command::DeleteWatch(it) => self.watches.delete(it),
             Command::Publish(it) => self.watches.publish(it, time_ms),
             Command::Expire(it) => self.expire(it),
-            // Its own outcome goes to its caller by [`State::apply_workflow`].
+            // Callers that need the outcome use [`State::apply_workflow`] instead.
             Command::Workflow(it) => {
                 self.workflows.apply(it, time_ms);
                 Ok(Reply::Done)
@@ -135,7 +133,7 @@
         }
     }
 
-    /// Applies a change of the workflows at `index`.
+    /// Applies a workflow command at `index`.
     pub fn apply_workflow(
         &mut self,
         index: u64,
@@ -146,7 +144,7 @@
         self.workflows.apply(command, time_ms)
     }
 
-    /// Notes an entry that changes nothing here.
+    /// Advances index and clock to an entry that changes nothing else in the state.
     pub fn advance_to(&mut self, index: u64, time_ms: u64) {
         self.index = index;
         self.time_ms = time_ms;
@@ -156,42 +154,45 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when it cannot be encoded.
+    /// Returns an error if the state cannot be encoded.
     pub fn to_bytes(&self) -> Result<Vec<u8>> {
         bincode::serde::encode_to_vec(self, bincode::config::standard()).map_err(|it| {
             Error::report(ErrorKind::Internal, format_compact!("cannot encode the state: {it}"))
         })
     }
 
-    /// Reads a state back from bytes.
+    /// Decodes a state from the bytes of a snapshot, of this or an earlier version.
     ///
     /// # Errors
     ///
-    /// Returns an error when the bytes are no state of this version.
+    /// Returns an error if the bytes are not a valid state.
     pub fn from_bytes(data: &[u8]) -> Result<State> {
-        let read = |missing: usize| {
-            let data = [data, &vec![0; missing]].concat();
+        let decode = |missing_bytes: usize| {
+            let data = [data, &vec![0; missing_bytes]].concat();
             let (res, used) = bincode::serde::decode_from_slice(&data, bincode::config::standard())
                 .map_err(|it| it.to_string())?;
             let is_whole = used == data.len();
-            is_whole.then_some(res).ok_or_else(|| format!("{} bytes too many", data.len() - used))
+            is_whole
+                .then_some(res)
+                .ok_or_else(|| format!("{} unexpected bytes at the end", data.len() - used))
         };
-        let earlier = || MISSING_TAILS.iter().find_map(|it| read(*it).ok());
-        let mut res: State = read(0).or_else(|error| earlier().ok_or(error)).map_err(|it| {
-            Error::report(
-                ErrorKind::Internal,
-                format_compact!("cannot decode the state of a snapshot: {it}"),
-            )
-        })?;
+        let decode_earlier = || MISSING_TAIL_BYTES.iter().find_map(|it| decode(*it).ok());
+        let mut res: State =
+            decode(0).or_else(|error| decode_earlier().ok_or(error)).map_err(|it| {
+                Error::report(
+                    ErrorKind::Internal,
+                    format_compact!("cannot decode the state of a snapshot: {it}"),
+                )
+            })?;
         res.workflows.rebuild_index();
         Ok(res)
     }
 
-    /// Checks what must always hold, from scratch.
+    /// Checks the invariants of the state, with all reservations summed up anew.
     ///
     /// # Errors
     ///
-    /// Returns what does not hold.
+    /// Returns the first violation found.
     pub fn audit(&self) -> Result<(), String> {
         let mut used: BTreeMap<VmId, Resources> = BTreeMap::new();
         for task in self.jobs.tasks() {
@@ -214,7 +215,7 @@
             let sum = used.get(&vm.id).copied().unwrap_or(NO_RESOURCES);
             if sum != vm.used {
                 return Err(format!(
-                    "VM {} holds {sum:?} but its ledger says {:?}",
+                    "tasks on VM {} reserve {sum:?}, but the VM records {:?}",
                     vm.name, vm.used
                 ));
             }
@@ -225,11 +226,11 @@
         Ok(())
     }
 
-    fn expire(&mut self, it: &ExpireCommand) -> ReplyResult {
-        self.jobs.expire(it.jobs_before_ms);
-        self.vms.expire(it.jobs_before_ms);
-        self.claims.expire(it.claims_before_ms);
-        self.watches.expire(it.claims_before_ms);
+    fn expire(&mut self, command: &ExpireCommand) -> ReplyResult {
+        self.jobs.expire(command.jobs_before_ms);
+        self.vms.expire(command.jobs_before_ms);
+        self.claims.expire(command.claims_before_ms);
+        self.watches.expire(command.claims_before_ms);
         Ok(Reply::Done)
     }
 }
--- a/src/control/state/task.rs
+++ b/src/control/state/task.rs
@@ -1,4 +1,4 @@
-//! Tasks and the one table of their states.
+//! Tasks and the table of their state transitions.
 
 use crate::prelude::*;
 
@@ -8,8 +8,8 @@
     pub vm: VmId,
     pub session: SessionId,
     pub since_ms: u64,
-    /// Whether the session that it was placed under has been superseded since. The VM may have
-    /// restarted with all it ran, so this incarnation is never started once more.
+    /// Whether the session that the incarnation was placed under has been superseded. The VM may
+    /// have restarted, which ends all its tasks, so this incarnation is never started again.
     pub inherited: bool,
 }
 
@@ -19,16 +19,16 @@
     pub id: TaskId,
     pub job: JobId,
     pub state: TaskState,
-    /// Number of the last start; the fencing token of everything said about the task.
+    /// Number of the last start, the fencing token of all reports about the task.
     pub incarnation: u32,
     pub placement: Option<Placement>,
     pub checkpoint: CompactString,
-    /// Run time that the checkpoint keeps.
+    /// Run time whose progress the checkpoint preserves.
     pub kept_run_ms: u64,
     pub failed_on: Vec<VmId>,
     pub evictions: u32,
     pub queued_ms: u64,
-    /// Result, or the reason of the last failure.
+    /// Result, or the cause of the last failure.
     pub detail: CompactString,
 }
 
@@ -44,13 +44,13 @@
         matches!(self, TaskState::Queued | TaskState::Evicted)
     }
 
-    /// Returns whether nothing more happens to the task.
+    /// Returns whether the state can no longer change.
     pub fn is_final(self) -> bool {
         matches!(self, TaskState::Completed | TaskState::Cancelled | TaskState::DeadLetter)
     }
 }
 
-/// What moves a task from one state to another.
+/// An event that moves a task from one state to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskTransition {
     Start,
@@ -66,7 +66,7 @@
     DeadLetter,
 }
 
-/// Every step, for tests over the whole table.
+/// All transitions, for tests over the whole table.
 pub const TASK_TRANSITIONS: &[TaskTransition] = &[
     TaskTransition::Start,
     TaskTransition::Running,
@@ -80,9 +80,9 @@
     TaskTransition::DeadLetter,
 ];
 
-/// Returns the state that `step` leads to, or nothing where the step is refused.
+/// Returns the state that `transition` leads to, or `None` if `state` does not allow it.
 ///
-/// `has_checkpoint` says whether the task resumes from one.
+/// `has_checkpoint` is whether the task would resume from a checkpoint.
 pub fn next_state(
     state: TaskState,
     transition: TaskTransition,
@@ -94,8 +94,8 @@
         (Queued, TaskTransition::Start) => Some(Starting),
         (Evicted, TaskTransition::Start) => Some(Resuming),
         (Starting | Resuming, TaskTransition::Running) => Some(Running),
-        // A completion wins over an eviction and over a cancellation that were only asked for:
-        // the work is done, and doing it again or throwing it away would cost a caller twice.
+        // A completion takes precedence over a requested eviction or cancellation: the work is
+        // done, and to repeat or discard it would cost the caller twice.
         (Starting | Resuming | Running | Checkpointing | Stopping, TaskTransition::Completed) => {
             Some(Completed)
         }
--- a/src/control/state/vms.rs
+++ b/src/control/state/vms.rs
@@ -1,4 +1,4 @@
-//! VMs, their sessions and the ledger of what they hold.
+//! VMs, their sessions and the resources reserved on them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,10 +7,9 @@
     prelude::*,
 };
 
-/// No resources.
 pub const NO_RESOURCES: Resources = Resources { cpu_millicores: 0, memory_mib: 0, accelerators: 0 };
 
-/// The run of an agent that holds a VM.
+/// A run of the agent that manages a VM.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Session {
     pub id: SessionId,
@@ -18,7 +17,7 @@
     pub address: std::net::SocketAddr,
 }
 
-/// A VM that announced itself.
+/// A VM whose agent has opened a session.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Vm {
     pub id: VmId,
@@ -26,27 +25,26 @@
     pub zone: CompactString,
     pub rack: CompactString,
     pub capacity: Resources,
-    /// Sum of what its tasks reserve.
+    /// Sum of the reservations of its tasks.
     pub used: Resources,
     pub tasks: BTreeSet<TaskId>,
     pub session: Option<Session>,
     pub draining: bool,
     pub quarantined: bool,
-    /// Failures since a task last completed here.
+    /// Task failures on this VM since a task last completed here.
     pub failures_in_row: u32,
     /// When the session ended or the quarantine began.
     pub changed_ms: u64,
 }
 
 impl Vm {
-    /// Returns whether a task with this need may be started here.
+    /// Returns whether a task with this need may be started on the VM.
     pub fn has_capacity_for(&self, need: Resources) -> bool {
-        // A VM in quarantine takes one task as a probe.
-        let closed = self.draining || (self.quarantined && !self.tasks.is_empty());
-        !closed && self.session.is_some() && fits(add(self.used, need), self.capacity)
+        // A VM in quarantine accepts one task at a time, as a probe.
+        let is_closed = self.draining || (self.quarantined && !self.tasks.is_empty());
+        !is_closed && self.session.is_some() && fits(add(self.used, need), self.capacity)
     }
 
-    /// Returns what is left.
     pub fn free_capacity(&self) -> Resources {
         subtract(self.capacity, self.used)
     }
@@ -58,7 +56,8 @@
     vms: BTreeMap<VmId, Vm>,
     by_name: BTreeMap<CompactString, VmId>,
     by_session: BTreeMap<SessionId, VmId>,
-    next: u32,
+    #[serde(rename = "next")]
+    last_id: u32,
 }
 
 impl Vms {
@@ -70,7 +69,7 @@
         self.vms.get(self.by_name.get(name)?)
     }
 
-    /// Returns the VM that an open session holds.
+    /// Returns the VM of an open session.
     pub fn by_session(&self, session: SessionId) -> Option<&Vm> {
         self.vms.get(self.by_session.get(&session)?)
     }
@@ -102,10 +101,10 @@
         }
     }
 
-    /// Counts a task that completed or failed here.
+    /// Records that a task on a VM completed or failed.
     ///
-    /// In quarantine the task was a probe: its success lifts the quarantine, its failure begins
-    /// the waiting time anew.
+    /// In quarantine the task was a probe: its success ends the quarantine, its failure restarts
+    /// the quarantine time.
     pub(super) fn note_outcome(&mut self, id: VmId, completed: bool, time_ms: u64) {
         let Some(vm) = self.vms.get_mut(&id) else { return };
         vm.failures_in_row = if completed { 0 } else { vm.failures_in_row + 1 };
@@ -116,9 +115,9 @@
     }
 
     pub(super) fn expire(&mut self, before_ms: u64) {
-        let gone =
+        let is_expired =
             |vm: &Vm| vm.session.is_none() && vm.tasks.is_empty() && vm.changed_ms < before_ms;
-        self.vms.retain(|_, vm| !gone(vm));
+        self.vms.retain(|_, vm| !is_expired(vm));
         let vms = &self.vms;
         self.by_name.retain(|_, id| vms.contains_key(id));
     }
@@ -127,32 +126,35 @@
 impl State {
     pub(super) fn open_session(
         &mut self,
-        it: &OpenSessionCommand,
+        command: &OpenSessionCommand,
         changes: &mut Vec<Change>,
     ) -> ReplyResult {
-        let known = self.vms.by_name(&it.vm_name);
-        if let Some(vm) = known
-            && let Some(session) = vm.session.as_ref().filter(|session| session.boot == it.boot)
+        let known_vm = self.vms.by_name(&command.vm_name);
+        if let Some(vm) = known_vm
+            && let Some(session) =
+                vm.session.as_ref().filter(|session| session.boot == command.boot)
         {
             return Ok(Reply::SessionOpened(SessionOpened { session: session.id, vm: vm.id }));
         }
-        if let Some(vm) = known
-            && !fits(vm.used, it.capacity)
+        if let Some(vm) = known_vm
+            && !fits(vm.used, command.capacity)
         {
-            let detail = format_compact!("VM {} announces less than its tasks hold", it.vm_name);
+            let detail =
+                format_compact!("VM {} announces less than its tasks hold", command.vm_name);
             return Err(refusal_with_retry_after(ErrorKind::Infeasible, detail, 5_000));
         }
-        let id = known.map(|vm| vm.id).unwrap_or_else(|| {
-            self.vms.next += 1;
-            VmId(self.vms.next)
+        let id = known_vm.map(|vm| vm.id).unwrap_or_else(|| {
+            self.vms.last_id += 1;
+            VmId(self.vms.last_id)
         });
-        let session = Session { id: SessionId(self.index), boot: it.boot, address: it.address };
+        let session =
+            Session { id: SessionId(self.index), boot: command.boot, address: command.address };
         let vm = self.vms.vms.entry(id).or_insert_with(|| Vm {
             id,
-            name: it.vm_name.clone(),
-            zone: it.zone.clone(),
-            rack: it.rack.clone(),
-            capacity: it.capacity,
+            name: command.vm_name.clone(),
+            zone: command.zone.clone(),
+            rack: command.rack.clone(),
+            capacity: command.capacity,
             used: NO_RESOURCES,
             tasks: BTreeSet::new(),
             session: None,
@@ -161,28 +163,28 @@
             failures_in_row: 0,
             changed_ms: self.time_ms,
         });
-        vm.zone = it.zone.clone();
-        vm.rack = it.rack.clone();
-        vm.capacity = it.capacity;
-        if let Some(old) = vm.session.replace(session) {
-            self.vms.by_session.remove(&old.id);
+        vm.zone = command.zone.clone();
+        vm.rack = command.rack.clone();
+        vm.capacity = command.capacity;
+        if let Some(superseded) = vm.session.replace(session) {
+            self.vms.by_session.remove(&superseded.id);
         }
-        self.vms.by_name.insert(it.vm_name.clone(), id);
+        self.vms.by_name.insert(command.vm_name.clone(), id);
         self.vms.by_session.insert(SessionId(self.index), id);
-        // The worker still runs what the agent before started; the new agent finds it there.
-        self.hand_tasks_over(id, SessionId(self.index));
+        // The worker still runs the tasks that the previous agent started; the new one finds them.
+        self.transfer_tasks(id, SessionId(self.index));
         changes.push(Change::Vm(id));
         Ok(Reply::SessionOpened(SessionOpened { session: SessionId(self.index), vm: id }))
     }
 
     pub(super) fn close_session(
         &mut self,
-        it: &CloseSessionCommand,
+        command: &CloseSessionCommand,
         changes: &mut Vec<Change>,
     ) -> ReplyResult {
         let time_ms = self.time_ms;
         let Some(vm) =
-            self.vms.by_session.remove(&it.session).and_then(|id| self.vms.vms.get_mut(&id))
+            self.vms.by_session.remove(&command.session).and_then(|id| self.vms.vms.get_mut(&id))
         else {
             return Ok(Reply::Done);
         };
@@ -192,35 +194,35 @@
         for task in tasks {
             self.apply_transition(task, TaskTransition::Lost, changes);
         }
-        self.claims.end_session(it.session, time_ms);
+        self.claims.end_session(command.session, time_ms);
         changes.push(Change::Vm(id));
         Ok(Reply::Done)
     }
 
     pub(super) fn set_vm_flags(
         &mut self,
-        it: &VmFlagsCommand,
+        command: &VmFlagsCommand,
         changes: &mut Vec<Change>,
     ) -> ReplyResult {
         let time_ms = self.time_ms;
-        let Some(vm) = self.vms.vms.get_mut(&it.vm) else {
+        let Some(vm) = self.vms.vms.get_mut(&command.vm) else {
             return Err(refusal(
                 ErrorKind::NotFound,
-                format_compact!("no VM has the number {}", it.vm),
+                format_compact!("no VM has the number {}", command.vm),
             ));
         };
-        if vm.quarantined != it.quarantined {
+        if vm.quarantined != command.quarantined {
             vm.failures_in_row = 0;
             vm.changed_ms = time_ms;
         }
-        vm.draining = it.draining;
-        vm.quarantined = it.quarantined;
-        changes.push(Change::Vm(it.vm));
+        vm.draining = command.draining;
+        vm.quarantined = command.quarantined;
+        changes.push(Change::Vm(command.vm));
         Ok(Reply::Done)
     }
 }
 
-/// Returns the sum of two amounts.
+/// Returns `a + b` per resource, saturating.
 pub fn add(a: Resources, b: Resources) -> Resources {
     Resources {
         cpu_millicores: a.cpu_millicores.saturating_add(b.cpu_millicores),
@@ -229,7 +231,7 @@
     }
 }
 
-/// Returns what is left of `a` without `b`, at least nothing.
+/// Returns `a - b` per resource, at least 0.
 pub fn subtract(a: Resources, b: Resources) -> Resources {
     Resources {
         cpu_millicores: a.cpu_millicores.saturating_sub(b.cpu_millicores),
@@ -238,7 +240,7 @@
     }
 }
 
-/// Returns whether `need` is within `room` in every part.
+/// Returns whether `need` is at most `free` in every resource.
 pub fn fits(need: Resources, free: Resources) -> bool {
     need.cpu_millicores <= free.cpu_millicores
         && need.memory_mib <= free.memory_mib
--- a/src/control/state/watches.rs
+++ b/src/control/state/watches.rs
@@ -21,8 +21,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a refusal when events after the cursor are no longer kept, with the cursor from
-    /// which on they are; nothing is skipped in silence.
+    /// Returns a refusal when events after `cursor` have been dropped, with the oldest cursor that
+    /// can still be read from. So no event is skipped without notice.
     pub fn read(&self, cursor: u64, limit: usize) -> Result<Vec<WatchEvent>, Refusal> {
         let oldest = self.next_cursor - self.events.len() as u64;
         if cursor + 1 < oldest {
@@ -54,9 +54,10 @@
     watches: BTreeMap<WatchId, Watch>,
     by_key: BTreeMap<(CompactString, CompactString), WatchId>,
     by_subject: BTreeMap<(CompactString, CompactString), Vec<WatchId>>,
-    /// Keys of events published, so that a resend is told once.
+    /// Keys of published events with their times, so that a resent event is delivered once.
     published: BTreeMap<(CompactString, CompactString), u64>,
-    next: u64,
+    #[serde(rename = "next")]
+    last_index: u64,
 }
 
 impl Watches {
@@ -72,49 +73,53 @@
         self.watches.is_empty()
     }
 
-    /// Returns the keys of published events that are kept.
+    /// Returns the number of kept keys of published events.
     pub fn published_key_count(&self) -> usize {
         self.published.len()
     }
 
-    pub(super) fn create(&mut self, group_id: Place, it: &CreateWatchCommand) -> ReplyResult {
-        let key = (it.team.clone(), it.key.clone());
+    pub(super) fn create(&mut self, group_id: Place, command: &CreateWatchCommand) -> ReplyResult {
+        let key = (command.team.clone(), command.key.clone());
         if let Some(&id) = self.by_key.get(&key) {
-            return match self.watches.get(&id).is_some_and(|watch| watch.subject == it.subject) {
+            return match self.watches.get(&id).is_some_and(|watch| watch.subject == command.subject)
+            {
                 true => Ok(Reply::WatchCreated(id)),
                 false => Err(refusal(
                     ErrorKind::KeyReused,
-                    format_compact!("key {} names another watch", it.key),
+                    format_compact!("key {} names another watch", command.key),
                 )),
             };
         }
-        self.next += 1;
-        let id = WatchId(group_id.pack(self.next));
+        self.last_index += 1;
+        let id = WatchId(group_id.pack(self.last_index));
         let watch = Watch {
             id,
-            team: it.team.clone(),
-            key: it.key.clone(),
-            subject: it.subject.clone(),
-            events_max: it.events_max.max(1),
+            team: command.team.clone(),
+            key: command.key.clone(),
+            subject: command.subject.clone(),
+            events_max: command.events_max.max(1),
             next_cursor: 1,
             events: VecDeque::new(),
         };
         self.by_key.insert(key, id);
-        self.by_subject.entry((it.team.clone(), it.subject.clone())).or_default().push(id);
+        self.by_subject
+            .entry((command.team.clone(), command.subject.clone()))
+            .or_default()
+            .push(id);
         self.watches.insert(id, watch);
         Ok(Reply::WatchCreated(id))
     }
 
-    pub(super) fn delete(&mut self, it: &DeleteWatchCommand) -> ReplyResult {
-        // Deleting what is gone succeeds, so that a resend after a lost answer does too.
-        if self.get(&it.team, it.watch).is_some()
-            && let Some(watch) = self.watches.remove(&it.watch)
+    pub(super) fn delete(&mut self, command: &DeleteWatchCommand) -> ReplyResult {
+        // Deleting a deleted watch succeeds, so that a resend after a lost answer succeeds too.
+        if self.get(&command.team, command.watch).is_some()
+            && let Some(watch) = self.watches.remove(&command.watch)
         {
             self.by_key.remove(&(watch.team.clone(), watch.key));
             let subject = (watch.team, watch.subject);
-            if let Some(list) = self.by_subject.get_mut(&subject) {
-                list.retain(|id| *id != it.watch);
-                if list.is_empty() {
+            if let Some(ids) = self.by_subject.get_mut(&subject) {
+                ids.retain(|id| *id != command.watch);
+                if ids.is_empty() {
                     self.by_subject.remove(&subject);
                 }
             }
@@ -122,15 +127,15 @@
         Ok(Reply::Done)
     }
 
-    pub(super) fn publish(&mut self, it: &PublishCommand, time_ms: u64) -> ReplyResult {
-        let key = (it.team.clone(), it.key.clone());
+    pub(super) fn publish(&mut self, command: &PublishCommand, time_ms: u64) -> ReplyResult {
+        let key = (command.team.clone(), command.key.clone());
         if self.published.insert(key, time_ms).is_none() {
-            self.tell(&it.team, &it.subject, &it.body, time_ms);
+            self.notify(&command.team, &command.subject, &command.body, time_ms);
         }
         Ok(Reply::Done)
     }
 
-    pub(super) fn tell(
+    pub(super) fn notify(
         &mut self,
         team: &CompactString,
         subject: &CompactString,
@@ -140,8 +145,8 @@
         let ids =
             self.by_subject.get(&(team.clone(), subject.clone())).cloned().unwrap_or_default();
         for id in ids {
-            if let Some(it) = self.watches.get_mut(&id) {
-                it.push(body, time_ms);
+            if let Some(watch) = self.watches.get_mut(&id) {
+                watch.push(body, time_ms);
             }
         }
     }
--- a/src/control/state/workflows/failures.rs
+++ b/src/control/state/workflows/failures.rs
@@ -1,39 +1,40 @@
-//! Failures that were taken in and that their workers may not know to be taken note of.
+//! Failures that were recorded, but whose workers may not have received the acknowledgement.
 //!
-//! A failure is an attempt once its worker has heard that it was taken note of. If the worker's
-//! lease runs out before, it never is one: users count it as a run that lapsed. Until then the task
-//! neither begins again nor fails. A failure that counted when it was taken in ended workflows
-//! after fewer attempts than their queue allows, wherever a worker was cut off in that moment; one
-//! that did not count because its worker was given up let a task begin a fourth time in one of 400
-//! schedules.
+//! A failure counts as an attempt once its worker has received the acknowledgement. If the worker's
+//! lease expires first, the failure does not count: users see the run as lapsed. Until one of both
+//! is known, the task neither begins again nor fails. Failures that counted as soon as they were
+//! recorded ended workflows after fewer attempts than their queue allows, whenever a worker was cut
+//! off at that moment. Failures that did not count because their worker was marked as lost let a
+//! task begin a fourth time in one of 400 schedules.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use crate::{control::state::workflows::Worker, prelude::*};
 
-/// The failures that are to be settled, and the starts of gangs that have failed.
+/// The failures that are not settled, and the gang starts that have failed.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub(super) struct UnsettledFailures {
     open: BTreeMap<WorkerId, Vec<UnsettledFailure>>,
-    /// Those of lifetimes that were given up, by their names: what they know shows once they are
-    /// back, and until then their tasks wait.
+    /// Failures on worker incarnations that were marked as lost, by incarnation name. Their tasks
+    /// wait until the incarnation is back and reports which acknowledgements it received.
     lost: BTreeMap<CompactString, LostFailures>,
-    /// The last run of each gang that a failure counted for. A start of a gang is one attempt,
-    /// whichever of its members fail: three members that failed together took all of three.
+    /// The last run of each gang for which a failure was counted. A start of a gang is one attempt
+    /// however many members fail: counted each, three members that failed together used up all of
+    /// three attempts.
     gangs: BTreeMap<StepRef, u32>,
 }
 
-/// A failure that is to be settled.
+/// A failure that is not settled.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub(super) struct UnsettledFailure {
-    /// The worker that the run is held on.
+    /// The worker that the run was recorded on.
     pub worker: WorkerId,
     pub end: RunEnd,
-    /// The worker forgets the end once it hears of this cursor.
+    /// The worker forgets the end once this cursor is acknowledged.
     cursor: u64,
 }
 
-/// The failures of a lifetime that was given up.
+/// The failures on a worker incarnation that was marked as lost.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 struct LostFailures {
     node: SocketAddr,
@@ -42,92 +43,97 @@
 }
 
 impl UnsettledFailures {
-    /// Notes a failure that was listed up to a cursor.
-    pub(super) fn open(&mut self, worker: WorkerId, end: RunEnd, cursor: u64) {
+    /// Adds a failure from a list of ends that reaches up to `cursor`.
+    pub(super) fn add(&mut self, worker: WorkerId, end: RunEnd, cursor: u64) {
         self.open.entry(worker).or_default().push(UnsettledFailure { worker, end, cursor });
     }
 
-    /// Returns what a worker knows of its failures, if that settles any.
+    /// Returns the failures of a worker that `noted` settles, or `None` if it settles none.
     pub(super) fn failures_to_settle(
         &self,
         worker: WorkerId,
         noted: NotedEnds,
     ) -> Option<SettleFailures> {
-        let open = self.open.get(&worker)?;
-        let counted = runs_of(open.iter().filter(|it| noted.is_noted(it.cursor)));
-        let lapsed = runs_of(open.iter().filter(|it| noted.has_lapsed(it.cursor)));
-        let is_any = !counted.is_empty() || !lapsed.is_empty();
-        is_any.then_some(SettleFailures { counted, lapsed })
+        let failures = self.open.get(&worker)?;
+        let counted = runs_of(failures.iter().filter(|it| noted.is_noted(it.cursor)));
+        let lapsed = runs_of(failures.iter().filter(|it| noted.has_lapsed(it.cursor)));
+        let settles_any = !counted.is_empty() || !lapsed.is_empty();
+        settles_any.then_some(SettleFailures { counted, lapsed })
     }
 
-    /// Returns the failures on a worker.
-    pub(super) fn on(&self, worker: WorkerId) -> Vec<RunRef> {
+    /// Returns the failed runs on a worker.
+    pub(super) fn runs_on(&self, worker: WorkerId) -> Vec<RunRef> {
         runs_of(self.open.get(&worker).into_iter().flatten())
     }
 
-    /// Returns the failures of lifetimes that were given up before a time.
+    /// Returns the failed runs on worker incarnations that were marked as lost before `time_ms`.
     pub(super) fn lost_before(&self, time_ms: u64) -> Vec<RunRef> {
         let lost = self.lost.values().filter(|it| it.lost_ms < time_ms);
         runs_of(lost.flat_map(|it| &it.failures))
     }
 
-    /// Takes out the failure of a run, unless it was settled before.
+    /// Removes and returns the failure of a run, unless it is already settled.
     pub(super) fn take(&mut self, run: RunRef) -> Option<UnsettledFailure> {
-        let lost = self.lost.values_mut().map(|it| &mut it.failures);
-        let mut all = self.open.values_mut().chain(lost);
-        let res = all.find_map(|it| {
-            let at = it.iter().position(|it| it.end.run == run)?;
-            Some(it.remove(at))
+        let of_lost = self.lost.values_mut().map(|it| &mut it.failures);
+        let mut lists = self.open.values_mut().chain(of_lost);
+        let res = lists.find_map(|it| {
+            let index = it.iter().position(|it| it.end.run == run)?;
+            Some(it.remove(index))
         });
         self.open.retain(|_, it| !it.is_empty());
         self.lost.retain(|_, it| !it.failures.is_empty());
         res
     }
 
-    /// Keeps the failures of a lifetime that is given up until it is back.
-    pub(super) fn lose(&mut self, id: WorkerId, worker: &Worker, lost_ms: u64) {
+    /// Keeps the failures of a worker incarnation that is marked as lost until it is back.
+    pub(super) fn mark_lost(&mut self, id: WorkerId, worker: &Worker, lost_ms: u64) {
         let Some(failures) = self.open.remove(&id) else { return };
         let lost = LostFailures { node: worker.node, lost_ms, failures };
         self.lost.insert(worker.name.clone(), lost);
     }
 
-    /// Takes in a lifetime that enrols: it may be one that was given up. Returns the failures of
-    /// others beside its node, of which nobody will hear any more.
-    pub(super) fn note_enrolled(&mut self, id: WorkerId, it: &EnrolWorker) -> Vec<RunRef> {
-        if let Some(back) = self.lost.remove(&it.name) {
-            self.open.insert(id, back.failures);
+    /// Handles the registration of a worker incarnation, which may have been marked as lost before.
+    /// Returns the failed runs of other lost incarnations at its node, which will not be back.
+    pub(super) fn note_enrolled(
+        &mut self,
+        id: WorkerId,
+        registration: &EnrolWorker,
+    ) -> Vec<RunRef> {
+        if let Some(returned) = self.lost.remove(&registration.name) {
+            self.open.insert(id, returned.failures);
         }
-        let beside = self.lost.values().filter(|lost| lost.node == it.node);
-        runs_of(beside.flat_map(|it| &it.failures))
+        let others_at_node = self.lost.values().filter(|lost| lost.node == registration.node);
+        runs_of(others_at_node.flat_map(|it| &it.failures))
     }
 
-    /// Notes that a member of a gang failed; returns whether that is the first failure of its start.
-    pub(super) fn note_gang(&mut self, run: RunRef) -> bool {
-        let last = self.gangs.entry(StepRef::of_task(run.task)).or_insert(0);
-        std::mem::replace(last, run.run.max(*last)) < run.run
+    /// Records the failure of a gang member. Returns whether it is the first failure of that start.
+    pub(super) fn note_gang_failure(&mut self, run: RunRef) -> bool {
+        let last_failed_run = self.gangs.entry(StepRef::of_task(run.task)).or_insert(0);
+        std::mem::replace(last_failed_run, run.run.max(*last_failed_run)) < run.run
     }
 
-    /// Forgets the gangs of a workflow that is at its end.
+    /// Forgets the gangs of a workflow that has ended.
     pub(super) fn forget(&mut self, workflow: WorkflowId) {
         self.gangs.retain(|step, _| step.workflow != workflow);
     }
 }
 
-fn runs_of<'a>(open: impl Iterator<Item = &'a UnsettledFailure>) -> Vec<RunRef> {
-    open.map(|it| it.end.run).collect()
+fn runs_of<'a>(failures: impl Iterator<Item = &'a UnsettledFailure>) -> Vec<RunRef> {
+    failures.map(|it| it.end.run).collect()
 }
 
 impl NotedEnds {
-    /// Nothing is known yet.
+    /// The worker has not reported any acknowledgements yet.
     pub const NONE: NotedEnds =
         NotedEnds { noted_cursor: 0, lapsed_after_cursor: 0, lapsed_cursor: 0 };
 
-    /// Returns whether the end at a cursor was taken note of under the lease that it came in.
+    /// Returns whether the worker received the acknowledgement of the end at `cursor` within the
+    /// lease under which it listed the end.
     pub fn is_noted(self, cursor: u64) -> bool {
         cursor <= self.noted_cursor && !self.has_lapsed(cursor)
     }
 
-    /// Returns whether the lease ran out between the end at a cursor and its acknowledgement.
+    /// Returns whether the lease expired between the end at `cursor` and its acknowledgement.
     pub fn has_lapsed(self, cursor: u64) -> bool {
         self.lapsed_after_cursor < cursor && cursor <= self.lapsed_cursor
     }
--- a/src/control/state/workflows/index.rs
+++ b/src/control/state/workflows/index.rs
@@ -1,7 +1,7 @@
-//! Where steps that could begin and queues are found without a walk over all of them.
+//! Indexes that find ready steps and queues without a full scan.
 //!
-//! An index is changed by the state's own changes and is not part of a snapshot; a walk over
-//! everything gives the same.
+//! An index follows the changes of the state and is not part of a snapshot. It holds the same as a
+//! full scan finds.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -10,12 +10,12 @@
     prelude::*,
 };
 
-/// The indexes beside the workflows.
+/// Indexes over the workflows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Index {
     /// Steps that have tasks to begin and wait for no other step.
     ready: BTreeSet<StepRef>,
-    /// By name of a queue, its place in the configuration.
+    /// Positions of the queues in the configuration, by name.
     queues: HashMap<CompactString, usize>,
 }
 
@@ -25,25 +25,25 @@
         self.index.ready.iter().copied()
     }
 
-    /// Returns whether a step could begin, by a look at the step itself.
-    pub fn is_ready(&self, at: StepRef) -> bool {
-        let workflow = self.workflows.get(&at.workflow).filter(|it| it.is_active());
-        let occurrence = workflow.and_then(|it| it.occurrences.get(at.occurrence as usize));
+    /// Returns whether a step has tasks to begin and waits for no other step, without the index.
+    pub fn is_ready(&self, step_ref: StepRef) -> bool {
+        let workflow = self.workflows.get(&step_ref.workflow).filter(|it| it.is_active());
+        let occurrence = workflow.and_then(|it| it.occurrences.get(step_ref.occurrence as usize));
         match (workflow, occurrence) {
             (Some(workflow), Some(occurrence)) => {
-                is_step_ready(workflow, occurrence, at.step as usize)
+                is_step_ready(workflow, occurrence, step_ref.step as usize)
             }
             _ => false,
         }
     }
 
-    /// Returns the queue that a workflow was submitted to, while it is configured.
+    /// Returns a queue by name, or `None` if it is not configured.
     pub fn queue(&self, name: &str) -> Option<&Queue> {
-        let at = *self.index.queues.get(name)?;
-        self.config.as_ref()?.queues.get(at)
+        let position = *self.index.queues.get(name)?;
+        self.config.as_ref()?.queues.get(position)
     }
 
-    /// Makes the indexes anew, as after a snapshot.
+    /// Rebuilds the indexes, for example after loading a snapshot.
     pub fn rebuild_index(&mut self) {
         self.index = Index::default();
         self.index_queues();
@@ -54,32 +54,33 @@
 
     pub(super) fn index_queues(&mut self) {
         let queues = self.config.iter().flat_map(|it| &it.queues).enumerate();
-        self.index.queues = queues.map(|(at, it)| (it.name.clone(), at)).collect();
+        self.index.queues = queues.map(|(position, it)| (it.name.clone(), position)).collect();
     }
 
-    /// Takes note of a step whose tasks or runs changed.
-    pub(super) fn index_step(&mut self, at: StepRef) {
-        match self.is_ready(at) {
-            true => drop(self.index.ready.insert(at)),
-            false => drop(self.index.ready.remove(&at)),
+    /// Updates the index for a step whose tasks or runs changed.
+    pub(super) fn index_step(&mut self, step_ref: StepRef) {
+        match self.is_ready(step_ref) {
+            true => drop(self.index.ready.insert(step_ref)),
+            false => drop(self.index.ready.remove(&step_ref)),
         }
     }
 
-    /// Takes note of a step with a task that ended: steps that wait for it may begin.
-    pub(super) fn index_after(&mut self, at: StepRef) {
-        let workflow = self.workflows.get(&at.workflow);
-        let occurrence = workflow.and_then(|it| it.occurrences.get(at.occurrence as usize));
-        let step = occurrence.and_then(|it| it.steps.get(at.step as usize));
+    /// Updates the index for a step with a task that ended. If the step is done, updates all steps
+    /// of its occurrence, since those that wait for it may become ready.
+    pub(super) fn index_step_and_dependents(&mut self, step_ref: StepRef) {
+        let workflow = self.workflows.get(&step_ref.workflow);
+        let occurrence = workflow.and_then(|it| it.occurrences.get(step_ref.occurrence as usize));
+        let step = occurrence.and_then(|it| it.steps.get(step_ref.step as usize));
         match (occurrence, step) {
             (Some(occurrence), Some(it)) if it.is_done() => {
                 let steps = occurrence.steps.len() as u32;
-                (0..steps).for_each(|step| self.index_step(StepRef { step, ..at }));
+                (0..steps).for_each(|step| self.index_step(StepRef { step, ..step_ref }));
             }
-            _ => self.index_step(at),
+            _ => self.index_step(step_ref),
         }
     }
 
-    /// Takes note of all steps of a workflow that began or ended.
+    /// Updates the index for all steps of a workflow that was submitted or has ended.
     pub(super) fn index_workflow(&mut self, workflow: WorkflowId) {
         let occurrences = self.workflows.get(&workflow).map_or(0, |it| it.occurrences.len());
         let steps = self.workflows.get(&workflow).map_or(0, |it| it.spec.steps.len());
@@ -91,8 +92,10 @@
     }
 }
 
-fn is_step_ready(workflow: &Workflow, occurrence: &Occurrence, at: usize) -> bool {
-    let (Some(step), Some(state)) = (workflow.spec.steps.get(at), occurrence.steps.get(at)) else {
+fn is_step_ready(workflow: &Workflow, occurrence: &Occurrence, step_index: usize) -> bool {
+    let (Some(step), Some(state)) =
+        (workflow.spec.steps.get(step_index), occurrence.steps.get(step_index))
+    else {
         return false;
     };
     !state.is_done()
--- a/src/control/state/workflows/mod.rs
+++ b/src/control/state/workflows/mod.rs
@@ -1,8 +1,8 @@
-//! The workflows of the group: jobs of steps, the runs of their tasks, and the workers they are
+//! Workflows (jobs made of steps), the runs of their tasks, and the workers that the runs are
 //! placed on.
 //!
-//! A run is in this ledger from before its worker is told to start it until its end is taken
-//! from the worker's list, so that a new leader knows of everything that may run anywhere.
+//! A run is recorded here before its worker is ordered to start it, and stays recorded until its
+//! end has been read from the worker's list. So a new leader knows every run that may be active.
 
 mod failures;
 mod index;
@@ -38,80 +38,79 @@
 pub struct Workflows {
     config: Option<Arc<QueueConfig>>,
     workflows: BTreeMap<WorkflowId, Workflow>,
-    /// Workflows that are not at their end.
+    /// Workflows that have not ended.
     active: BTreeSet<WorkflowId>,
     workers: Workers,
-    /// What leaders have learned of images beside each other.
+    /// Contention between images on one worker, as measured by leaders.
     #[serde(rename = "costs")]
     image_costs: Vec<ImageCost>,
     #[serde(skip)]
     index: index::Index,
-    /// From here on what snapshots of earlier versions end before.
+    // Snapshots of earlier versions lack the following fields; see `MISSING_TAIL_BYTES`.
     evacuations: Evacuations,
     suspects: Suspects,
     failures: UnsettledFailures,
 }
 
 impl Workflows {
-    /// Returns the queues in force.
+    /// Returns the queue configuration in force, if any.
     pub fn config(&self) -> Option<&Arc<QueueConfig>> {
         self.config.as_ref()
     }
 
-    /// Returns the queue that serves a place: the longest prefix of the path on the host.
+    /// Returns the queue that serves a URL: the one on the host with the longest matching path
+    /// prefix.
     pub fn queue_for_path(&self, host: &str, path: &str) -> Option<&Queue> {
-        let matching = |it: &&Queue| it.host == host && path.starts_with(it.path_prefix.as_str());
+        let matches_url =
+            |it: &&Queue| it.host == host && path.starts_with(it.path_prefix.as_str());
         let queues = &self.config.as_ref()?.queues;
-        queues.iter().filter(matching).max_by_key(|it| it.path_prefix.len())
+        queues.iter().filter(matches_url).max_by_key(|it| it.path_prefix.len())
     }
 
-    /// Returns a workflow.
     pub fn get(&self, id: WorkflowId) -> Option<&Workflow> {
         self.workflows.get(&id)
     }
 
-    /// Returns the workflows that are not at their end.
+    /// Returns the workflows that have not ended.
     pub fn active(&self) -> impl Iterator<Item = (WorkflowId, &Workflow)> {
         self.active.iter().filter_map(|id| Some((*id, self.workflows.get(id)?)))
     }
 
-    /// Returns how many workflows are known.
+    /// Returns the number of stored workflows, ended ones included.
     pub fn len(&self) -> usize {
         self.workflows.len()
     }
 
-    /// Returns whether no workflow is known.
     pub fn is_empty(&self) -> bool {
         self.workflows.is_empty()
     }
 
-    /// Returns what leaders have learned of images beside each other.
+    /// Returns the contention between images on one worker, as measured by leaders.
     pub fn image_costs(&self) -> &[ImageCost] {
         &self.image_costs
     }
 
-    /// Returns the availability zones that are out of use.
+    /// Returns the evacuated availability zones.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Returns the tasks whose workers crashed.
+    /// Returns the tasks suspected of crashing their workers.
     pub fn suspects(&self) -> &Suspects {
         &self.suspects
     }
 
-    /// Returns whether a worker stands in a zone that is out of use, where nothing may begin.
+    /// Returns whether a worker is in an evacuated zone, where no run may begin.
     pub fn is_evacuated(&self, id: WorkerId) -> bool {
         !self.evacuations.zones.is_empty()
             && self.workers.get(id).is_some_and(|it| self.evacuations.contains(&it.zone))
     }
 
-    /// Returns whether a configuration is in force that does not name a pool of workers.
+    /// Returns whether a queue configuration is in force that does not list this service.
     pub fn is_unconfigured_service(&self, service: &str) -> bool {
         self.config.as_ref().is_some_and(|it| !it.services.iter().any(|known| known == service))
     }
 
-    /// Returns the workers.
     pub fn workers(&self) -> &Workers {
         &self.workers
     }
@@ -121,50 +120,50 @@
         self.workflows.get(&task.workflow)?.spec.steps.get(task.step as usize)
     }
 
-    /// Returns whether a run may be on a worker, by what is known so far.
+    /// Returns whether a run is recorded on a worker, where it may be active.
     pub fn has_run(&self, worker: WorkerId, run: RunRef) -> bool {
         self.workers.get(worker).is_some_and(|it| it.runs.contains(&run))
     }
 
-    /// Returns what a worker knows of failures there that are not settled, if that settles any.
+    /// Returns the unsettled failures of a worker that `noted` settles, or `None` if it settles
+    /// none.
     pub fn failures_to_settle(&self, worker: WorkerId, noted: NotedEnds) -> Option<SettleFailures> {
         self.failures.failures_to_settle(worker, noted)
     }
 
-    /// Returns the failures on a worker that are not settled.
+    /// Returns the failed runs on a worker that are not settled.
     pub fn unsettled_failures_on(&self, worker: WorkerId) -> Vec<RunRef> {
-        self.failures.on(worker)
+        self.failures.runs_on(worker)
     }
 
-    /// Returns the failures that are not settled and whose workers were given up before a time.
+    /// Returns the unsettled failed runs whose workers were marked as lost before `time_ms`.
     pub fn lost_failures_before(&self, time_ms: u64) -> Vec<RunRef> {
         self.failures.lost_before(time_ms)
     }
 
-    /// Returns whether a run has nothing left to do: its task is done, or its workflow at its end.
+    /// Returns whether a run is no longer needed: its task is done or its workflow has ended.
     pub fn is_redundant(&self, run: RunRef) -> bool {
         let Some(workflow) = self.workflows.get(&run.task.workflow) else { return true };
         !workflow.is_active() || workflow.task(run.task).is_none_or(|it| it.is_done)
     }
 
-    /// Returns the workers with runs that came to nothing by ends of others: other runs of a task
-    /// that is done, and all of a workflow that is at its end.
+    /// Returns the workers with runs that became redundant by the end of another run: further runs
+    /// of a task that is done, and all runs of a workflow that has ended.
     pub fn workers_with_redundant_runs(
         &self,
         ended: impl Iterator<Item = RunRef>,
     ) -> BTreeSet<WorkerId> {
         let mut res = BTreeSet::new();
-        for at in ended.map(|it| it.task) {
-            let Some(workflow) = self.workflows.get(&at.workflow) else { continue };
+        for task in ended.map(|it| it.task) {
+            let Some(workflow) = self.workflows.get(&task.workflow) else { continue };
             match workflow.is_active() {
-                true => res.extend(workflow.runs_of_done(at)),
+                true => res.extend(workflow.workers_with_runs_of_done(task)),
                 false => res.extend(workflow.runs().map(|it| it.worker)),
             }
         }
         res
     }
 
-    /// Applies a command.
     pub fn apply(&mut self, command: &WorkflowCommand, time_ms: u64) -> WorkflowOutcome {
         match command {
             WorkflowCommand::Install(it) => self.install(it),
@@ -186,20 +185,20 @@
         }
     }
 
-    fn install(&mut self, it: &QueueConfig) -> WorkflowOutcome {
-        let is_newer = self.config.as_ref().is_none_or(|old| old.version < it.version);
+    fn install(&mut self, config: &QueueConfig) -> WorkflowOutcome {
+        let is_newer = self.config.as_ref().is_none_or(|old| old.version < config.version);
         if is_newer {
-            self.config = Some(Arc::new(it.clone()));
+            self.config = Some(Arc::new(config.clone()));
             self.index_queues();
         }
         WorkflowOutcome::Accepted
     }
 
-    fn submit(&mut self, it: &SubmitWorkflow) -> WorkflowOutcome {
-        if let Entry::Vacant(entry) = self.workflows.entry(it.id) {
-            entry.insert(Workflow::new(it));
-            self.active.insert(it.id);
-            self.index_workflow(it.id);
+    fn submit(&mut self, submission: &SubmitWorkflow) -> WorkflowOutcome {
+        if let Entry::Vacant(entry) = self.workflows.entry(submission.id) {
+            entry.insert(Workflow::new(submission));
+            self.active.insert(submission.id);
+            self.index_workflow(submission.id);
         }
         WorkflowOutcome::Accepted
     }
@@ -212,33 +211,38 @@
         WorkflowOutcome::Accepted
     }
 
-    /// Notes runs that are about to be ordered; one that no longer makes sense is passed over.
+    /// Records runs before their workers are ordered to start them. Skips runs that are no longer
+    /// valid.
     fn begin(&mut self, runs: &[RunPlacement], time_ms: u64) -> WorkflowOutcome {
-        for it in runs {
-            if self.is_evacuated(it.worker) {
+        for placement in runs {
+            if self.is_evacuated(placement.worker) {
                 continue;
             }
-            let Some(workflow) = self.workflows.get_mut(&it.run.task.workflow) else { continue };
-            let Some(worker) = self.workers.get_mut(it.worker) else { continue };
+            let Some(workflow) = self.workflows.get_mut(&placement.run.task.workflow) else {
+                continue;
+            };
+            let Some(worker) = self.workers.get_mut(placement.worker) else { continue };
             let spec = workflow.spec.clone();
             if workflow.is_active()
-                && let Some(step) = spec.steps.get(it.run.task.step as usize)
-                && workflow.begin(it.run, it.worker)
+                && let Some(step) = spec.steps.get(placement.run.task.step as usize)
+                && workflow.begin(placement.run, placement.worker)
             {
-                worker.add(it.run, step);
-                self.suspects.note_begun(it.run, time_ms);
-                self.index_step(StepRef::of_task(it.run.task));
+                worker.add(placement.run, step);
+                self.suspects.note_begun(placement.run, time_ms);
+                self.index_step(StepRef::of_task(placement.run.task));
             }
         }
         WorkflowOutcome::Accepted
     }
 
-    fn finish(&mut self, it: &FinishRuns, time_ms: u64) -> WorkflowOutcome {
-        let Some(worker) = self.workers.get_mut(it.worker) else { return WorkflowOutcome::Gone };
-        worker.cursor = worker.cursor.max(it.cursor);
-        let crash = self.crash_of(&it.ends, time_ms);
-        for end in &it.ends {
-            self.finish_run(it.worker, end, it.cursor, time_ms);
+    fn finish(&mut self, ended_runs: &FinishRuns, time_ms: u64) -> WorkflowOutcome {
+        let Some(worker) = self.workers.get_mut(ended_runs.worker) else {
+            return WorkflowOutcome::Gone;
+        };
+        worker.cursor = worker.cursor.max(ended_runs.cursor);
+        let crash = self.crash_from_ends(&ended_runs.ends, time_ms);
+        for end in &ended_runs.ends {
+            self.finish_run(ended_runs.worker, end, ended_runs.cursor, time_ms);
         }
         let given_up = crash.map(|it| self.suspects.note_crash(&it)).unwrap_or_default();
         for task in given_up {
@@ -247,17 +251,19 @@
         WorkflowOutcome::Accepted
     }
 
-    /// Returns the crash that ends tell of, with the runs that still had something to do.
-    fn crash_of(&self, ends: &[RunEnd], time_ms: u64) -> Option<Crash> {
+    /// Returns the worker crash that the run ends report, with the crashed runs that were still
+    /// needed. Returns `None` if no run crashed.
+    fn crash_from_ends(&self, ends: &[RunEnd], time_ms: u64) -> Option<Crash> {
         let mut crashed = ends.iter().filter(|it| is_crash(it.outcome)).peekable();
         crashed.peek()?;
-        let row = |it: &RunEnd| {
+        let to_crashed_run = |it: &RunEnd| {
             let age_ms = self.suspects.age_ms(it.run, time_ms)?;
             let was_confirmed_running = it.outcome == RunOutcome::Crashed;
             Some(CrashedRun { task: it.run.task, age_ms, was_confirmed_running })
         };
-        let runs = crashed.filter(|it| !self.is_redundant(it.run)).filter_map(row).collect();
-        Some(Crash { workers: self.workers.len(), time_ms, runs })
+        let runs =
+            crashed.filter(|it| !self.is_redundant(it.run)).filter_map(to_crashed_run).collect();
+        Some(Crash { worker_count: self.workers.len(), time_ms, runs })
     }
 
     fn end_workflow(&mut self, id: WorkflowId, phase: WorkflowPhase, time_ms: u64) {
@@ -269,22 +275,23 @@
         self.index_workflow(id);
     }
 
-    /// Takes in the end of a run that is held here.
+    /// Records the end of a run.
     ///
-    /// A worker lists an end until it hears that it was taken note of, and lists it again after it
-    /// was given up and has enrolled anew. So an end counts by its run, once, and not after the run
-    /// was concluded: counted by its place in the list, one failure ended a workflow as three. Only
-    /// what is done stays done, whoever tells it, since the task must not be done again.
+    /// A worker lists an end until it receives the acknowledgement, and lists it again after it was
+    /// marked as lost and has registered anew. So an end is identified by its run, and counts only
+    /// while the run is recorded on the worker: identified by its position in the list, one failure
+    /// counted three times and ended a workflow. A `Done` end counts from any worker, since the
+    /// task must not run again.
     fn finish_run(&mut self, worker: WorkerId, end: &RunEnd, cursor: u64, time_ms: u64) {
-        let is_held = self.has_run(worker, end.run);
-        if !is_held && end.outcome != RunOutcome::Done {
+        let is_recorded = self.has_run(worker, end.run);
+        if !is_recorded && end.outcome != RunOutcome::Done {
             return;
         }
         self.release(worker, end.run);
         match end.outcome {
-            // What it takes is free; its task waits until the worker knows of the end.
-            RunOutcome::Failed if self.has_last_attempt(end.run.task) => {
-                self.failures.open(worker, end.clone(), cursor);
+            // The run's resources are free, but its task waits until the failure is settled.
+            RunOutcome::Failed if self.has_limited_attempts(end.run.task) => {
+                self.failures.add(worker, end.clone(), cursor);
             }
             _ => self.conclude(worker, end, time_ms),
         }
@@ -296,34 +303,35 @@
         }
     }
 
-    /// Returns whether the attempts of a task are bounded: those of one that lasts are not.
-    fn has_last_attempt(&self, task: TaskRef) -> bool {
+    /// Returns whether the attempts of a task are limited: those of a long-running task are not.
+    fn has_limited_attempts(&self, task: TaskRef) -> bool {
         self.step_of(task).is_some_and(|it| !it.lasting)
     }
 
-    /// Lets the end of a run count for its task and its workflow.
+    /// Applies the end of a run to its task and its workflow.
     fn conclude(&mut self, worker: WorkerId, end: &RunEnd, time_ms: u64) {
         let id = end.run.task.workflow;
         let attempts_max = self.attempts_max_of(id);
         let is_gang = self.step_of(end.run.task).is_some_and(|it| it.gang);
-        if is_gang && end.outcome == RunOutcome::Failed && !self.failures.note_gang(end.run) {
+        if is_gang && end.outcome == RunOutcome::Failed && !self.failures.note_gang_failure(end.run)
+        {
             return self.void_run(worker, end.run);
         }
         let Some(workflow) = self.workflows.get_mut(&id) else { return };
         let phase = workflow.finish(worker, end, attempts_max);
         let is_given_up = !is_crash(end.outcome) && self.suspects.note_end(end, time_ms);
-        self.suspects.note_over(end.run);
+        self.suspects.forget_run(end.run);
         match phase.or(is_given_up.then_some(WorkflowPhase::Failed)) {
             Some(phase) => self.end_workflow(id, phase, time_ms),
-            None => self.index_after(StepRef::of_task(end.run.task)),
+            None => self.index_step_and_dependents(StepRef::of_task(end.run.task)),
         }
     }
 
-    /// Lets failures count that their worker knows to be taken note of, and drops those that it
-    /// never will.
-    fn settle(&mut self, it: &SettleFailures, time_ms: u64) -> WorkflowOutcome {
-        it.counted.iter().for_each(|run| self.count_failure(*run, time_ms));
-        for run in &it.lapsed {
+    /// Counts the failures whose acknowledgement reached their worker in time, and voids those
+    /// whose lease expired before.
+    fn settle(&mut self, settled: &SettleFailures, time_ms: u64) -> WorkflowOutcome {
+        settled.counted.iter().for_each(|run| self.count_failure(*run, time_ms));
+        for run in &settled.lapsed {
             if let Some(it) = self.failures.take(*run) {
                 self.void_run(it.worker, *run);
             }
@@ -336,17 +344,17 @@
         queue.map_or(ATTEMPTS_WITHOUT_QUEUE, |it| it.attempts_max.max(1))
     }
 
-    fn void(&mut self, it: &VoidRuns) -> WorkflowOutcome {
-        for run in &it.runs {
-            self.release(it.worker, *run);
-            self.void_run(it.worker, *run);
+    fn void(&mut self, voided: &VoidRuns) -> WorkflowOutcome {
+        for run in &voided.runs {
+            self.release(voided.worker, *run);
+            self.void_run(voided.worker, *run);
         }
         WorkflowOutcome::Accepted
     }
 
-    /// Forgets a run that came to nothing, so that its task may begin again.
+    /// Removes a run without counting its end, so that its task may begin again.
     fn void_run(&mut self, worker: WorkerId, run: RunRef) {
-        self.suspects.note_over(run);
+        self.suspects.forget_run(run);
         if let Some(workflow) = self.workflows.get_mut(&run.task.workflow) {
             workflow.void(worker, run);
             self.index_step(StepRef::of_task(run.task));
@@ -354,7 +362,7 @@
     }
 
     fn release(&mut self, worker: WorkerId, run: RunRef) {
-        // A workflow is kept for as long as a run of it may be anywhere.
+        // A workflow is kept as long as one of its runs may be on a worker.
         let Some(workflow) = self.workflows.get(&run.task.workflow) else { return };
         let Some(step) = workflow.spec.steps.get(run.task.step as usize) else { return };
         if let Some(worker) = self.workers.get_mut(worker) {
@@ -362,31 +370,35 @@
         }
     }
 
-    /// Takes in a new lifetime; what ran on an earlier one beside the same node is over.
-    fn enrol(&mut self, it: &EnrolWorker, time_ms: u64) -> WorkflowOutcome {
-        if self.workers.find(it.node, &it.name).is_some() {
+    /// Registers a worker incarnation and dismisses earlier ones at the same node, whose runs are
+    /// over.
+    fn enrol(&mut self, registration: &EnrolWorker, time_ms: u64) -> WorkflowOutcome {
+        if self.workers.find(registration.node, &registration.name).is_some() {
             return WorkflowOutcome::Accepted;
         }
-        for id in self.workers.ids_at_node(it.node) {
+        for id in self.workers.ids_at_node(registration.node) {
             self.dismiss(id, time_ms);
         }
-        let id = self.workers.enrol(it);
-        // An attempt that may have counted must not be made again.
-        for run in self.failures.note_enrolled(id, it) {
+        let id = self.workers.enrol(registration);
+        // An earlier incarnation at this node can no longer report whether these failures were
+        // acknowledged. They count, since an attempt that may have counted must not be repeated.
+        for run in self.failures.note_enrolled(id, registration) {
             self.count_failure(run, time_ms);
         }
         WorkflowOutcome::Accepted
     }
 
-    fn resize(&mut self, it: &ResizeWorker) -> WorkflowOutcome {
-        let Some(worker) = self.workers.get_mut(it.worker) else { return WorkflowOutcome::Gone };
-        worker.capacity = it.capacity;
+    fn resize(&mut self, resize: &ResizeWorker) -> WorkflowOutcome {
+        let Some(worker) = self.workers.get_mut(resize.worker) else {
+            return WorkflowOutcome::Gone;
+        };
+        worker.capacity = resize.capacity;
         WorkflowOutcome::Accepted
     }
 
     fn dismiss(&mut self, id: WorkerId, time_ms: u64) -> WorkflowOutcome {
         let Some(worker) = self.workers.remove(id) else { return WorkflowOutcome::Gone };
-        self.failures.lose(id, &worker, time_ms);
+        self.failures.mark_lost(id, &worker, time_ms);
         worker.runs.into_iter().for_each(|it| self.void_run(id, it));
         WorkflowOutcome::Accepted
     }
--- a/src/control/state/workflows/suspects.rs
+++ b/src/control/state/workflows/suspects.rs
@@ -1,4 +1,4 @@
-//! Tasks whose workers crashed, and what is held against each.
+//! Tasks whose workers crashed, and the crash evidence against each.
 
 use std::collections::BTreeMap;
 
@@ -10,22 +10,23 @@
     prelude::*,
 };
 
-/// The tasks that are suspected of crashing their workers, and what tells whether they do.
+/// The tasks that are suspected of crashing their workers, with the data that the crash evidence is
+/// computed from.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Suspects {
-    /// One is here from the first crash of its worker until it is done, cleared, or its workflow at
-    /// its end: what ran on the workers that crashed lately, at most.
+    /// Holds a task from the first crash of its worker until the task is done or ruled out, or its
+    /// workflow has ended. At most the tasks of recently crashed workers are suspected.
     tasks: BTreeMap<TaskRef, CrashEvidence>,
-    /// When each run that may be on a worker came into the ledger.
+    /// When each run that may be on a worker was recorded.
     begun_ms: BTreeMap<RunRef, u64>,
-    /// Crashes of workers within the window of their rate that no task was given up for.
+    /// Times of the worker crashes within `CRASH_RATE_WINDOW_MS` that no task was found to cause.
     crashes_ms: Vec<u64>,
 }
 
-/// A worker that crashed, with the ages of the runs that it may have begun.
+/// The crash of a worker, with the runs that the worker may have begun.
 #[derive(Clone, Debug)]
 pub(super) struct Crash {
-    pub workers: usize,
+    pub worker_count: usize,
     pub time_ms: u64,
     pub runs: Vec<CrashedRun>,
 }
@@ -35,47 +36,44 @@
 pub(super) struct CrashedRun {
     pub task: TaskRef,
     pub age_ms: u64,
-    /// Whether the worker was seen to run it.
+    /// Whether the worker reported the run as running before the crash.
     pub was_confirmed_running: bool,
 }
 
-/// Returns whether an end tells that its worker crashed.
+/// Returns whether a run ended by a crash of its worker.
 pub(super) fn is_crash(outcome: RunOutcome) -> bool {
     matches!(outcome, RunOutcome::Crashed | RunOutcome::CrashedUnseen)
 }
 
 impl Suspects {
-    /// Returns what is held against a task, if anything.
+    /// Returns the crash evidence against a task, or `None` if it is not suspected.
     pub fn get(&self, task: TaskRef) -> Option<CrashEvidence> {
         self.tasks.get(&task).copied()
     }
 
-    /// Returns whether a task must begin where nothing else does.
+    /// Returns whether a task must begin on probation: on a worker where nothing else starts.
     pub fn needs_probation(&self, task: TaskRef) -> bool {
         self.get(task).is_some_and(CrashEvidence::needs_probation)
     }
 
-    /// Returns whether a task must begin only while no workers crash.
+    /// Returns whether a task may begin only after a period without worker crashes.
     pub fn needs_quiet_period(&self, task: TaskRef) -> bool {
         self.get(task).is_some_and(CrashEvidence::needs_quiet_period)
     }
 
-    /// Returns the suspected tasks.
     pub fn iter(&self) -> impl Iterator<Item = (TaskRef, CrashEvidence)> {
         self.tasks.iter().map(|(task, it)| (*task, *it))
     }
 
-    /// Returns how many tasks are suspected.
     pub fn len(&self) -> usize {
         self.tasks.len()
     }
 
-    /// Returns whether no task is suspected.
     pub fn is_empty(&self) -> bool {
         self.tasks.is_empty()
     }
 
-    /// Returns for how long a run has been in the ledger, unless an earlier version put it there.
+    /// Returns the time since a run was recorded, or `None` if an earlier version recorded it.
     pub fn age_ms(&self, run: RunRef, time_ms: u64) -> Option<u64> {
         self.begun_ms.get(&run).map(|it| time_ms.saturating_sub(*it))
     }
@@ -84,49 +82,52 @@
         self.begun_ms.insert(run, time_ms);
     }
 
-    /// Forgets a run that is on no worker any more.
-    pub(super) fn note_over(&mut self, run: RunRef) {
+    /// Forgets a run that is no longer on a worker.
+    pub(super) fn forget_run(&mut self, run: RunRef) {
         self.begun_ms.remove(&run);
     }
 
-    /// Takes in the end of a run other than by a crash, for which how long it was unharmed speaks;
-    /// returns whether its task is to be given up.
+    /// Updates the crash evidence after a run that ended without a known crash: the longer it ran,
+    /// the less likely its task crashes workers. Returns whether the task must be given up.
     pub(super) fn note_end(&mut self, end: &RunEnd, time_ms: u64) -> bool {
         let task = end.run.task;
         let Some(evidence) = self.get(task) else { return false };
         let age_ms = self.age_ms(end.run, time_ms).unwrap_or(0);
-        let is_cleared = match end.outcome {
+        let is_ruled_out = match end.outcome {
             RunOutcome::Done => true,
             RunOutcome::Lapsed => is_surely_too_old_to_suspect(age_ms),
             _ => evidence.is_ruled_out_at_age(age_ms),
         };
         match end.outcome {
-            _ if is_cleared => drop(self.tasks.remove(&task)),
+            _ if is_ruled_out => drop(self.tasks.remove(&task)),
             RunOutcome::Lapsed => {
-                let after = evidence.after_silent_worker();
-                self.tasks.insert(task, after);
-                return after.is_at_crash_limit();
+                let updated = evidence.after_silent_worker();
+                self.tasks.insert(task, updated);
+                return updated.is_at_crash_limit();
             }
             _ => (),
         }
         false
     }
 
-    /// Takes in the crash of a worker; returns the tasks that are to be given up.
+    /// Updates the crash evidence after a worker crash. Returns the tasks that must be given up.
     ///
-    /// The one with the highest odds explains the crash: that says no more of what ran beside it,
-    /// but for the count of crashes that no task may pass.
+    /// Of the tasks found to be culprits, the one with the highest odds explains the crash. The
+    /// crash then adds no evidence against the other tasks on the worker, but still counts towards
+    /// their crash limit.
     pub(super) fn note_crash(&mut self, crash: &Crash) -> Vec<TaskRef> {
         self.crashes_ms.retain(|it| crash.time_ms < it + CRASH_RATE_WINDOW_MS);
-        let after = |it: &CrashedRun| Some((it.task, self.after_crash(*it, crash.workers, false)?));
-        let convicted = crash.runs.iter().filter_map(after).filter(|(_, it)| it.is_culprit());
-        let culprit = convicted
+        let updated = |it: &CrashedRun| {
+            Some((it.task, self.evidence_after_crash(*it, crash.worker_count, false)?))
+        };
+        let culprits = crash.runs.iter().filter_map(updated).filter(|(_, it)| it.is_culprit());
+        let culprit = culprits
             .max_by(|a, b| a.1.likelihood_ratio.total_cmp(&b.1.likelihood_ratio))
             .map(|it| it.0);
-        for it in &crash.runs {
-            match self.after_crash(*it, crash.workers, culprit.is_some()) {
-                Some(after) => drop(self.tasks.insert(it.task, after)),
-                None => drop(self.tasks.remove(&it.task)),
+        for run in &crash.runs {
+            match self.evidence_after_crash(*run, crash.worker_count, culprit.is_some()) {
+                Some(evidence) => drop(self.tasks.insert(run.task, evidence)),
+                None => drop(self.tasks.remove(&run.task)),
             }
         }
         if culprit.is_none() {
@@ -138,27 +139,27 @@
         crash.runs.iter().map(|it| it.task).filter(is_given_up).collect()
     }
 
-    /// Returns what is held against a task after a crash, which another one may explain; nothing if
-    /// it is too old to have caused it.
-    fn after_crash(
+    /// Returns the crash evidence against a task after a crash, which another task may explain.
+    /// Returns `None` if the run is too old to have caused the crash.
+    fn evidence_after_crash(
         &self,
-        it: CrashedRun,
-        workers: usize,
+        run: CrashedRun,
+        worker_count: usize,
         is_explained: bool,
     ) -> Option<CrashEvidence> {
-        let before = self.get(it.task).unwrap_or_default();
+        let before = self.get(run.task).unwrap_or_default();
         let crashes = self.crashes_ms.len().saturating_sub(before.crashes_in_row as usize);
-        let baseline = BaselineCrashRate { crashes, workers };
-        match it.was_confirmed_running {
-            false if is_surely_too_old_to_suspect(it.age_ms) => None,
+        let baseline = BaselineCrashRate { crashes, workers: worker_count };
+        match run.was_confirmed_running {
+            false if is_surely_too_old_to_suspect(run.age_ms) => None,
             false => Some(before.after_unobserved_crash()),
-            true if is_too_old_to_suspect(it.age_ms) => None,
-            true if is_explained => Some(before.after_explained_crash(it.age_ms)),
-            true => Some(before.after_crash(it.age_ms, baseline)),
+            true if is_too_old_to_suspect(run.age_ms) => None,
+            true if is_explained => Some(before.after_explained_crash(run.age_ms)),
+            true => Some(before.after_crash(run.age_ms, baseline)),
         }
     }
 
-    /// Forgets the tasks of a workflow that is at its end.
+    /// Forgets the tasks of a workflow that has ended.
     pub(super) fn forget(&mut self, workflow: WorkflowId) {
         self.tasks.retain(|task, _| task.workflow != workflow);
     }
--- a/src/control/state/workflows/validation.rs
+++ b/src/control/state/workflows/validation.rs
@@ -1,17 +1,17 @@
-//! What a workflow must be to be accepted.
+//! Validation of workflows and of queue configurations.
 
 use crate::prelude::*;
 
-/// Most tasks of one occurrence, so that one workflow cannot fill the state.
+/// Maximum number of tasks in one occurrence, so that one workflow cannot fill the state.
 const TASKS_MAX: u64 = 10_000;
 
-/// Most steps of a workflow.
+/// Maximum number of steps in a workflow.
 const STEPS_MAX: usize = 1_000;
 
-/// Most tasks of all occurrences together.
+/// Maximum number of tasks in all occurrences together.
 const RUNS_MAX: u64 = 100_000;
 
-/// Why a workflow is refused.
+/// Why a workflow, a queue configuration or an evacuation request is refused.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ValidationError(pub CompactString);
 
@@ -26,19 +26,19 @@
         return fail(format_compact!("{} steps; 1 to {STEPS_MAX} are accepted", spec.steps.len()));
     }
     let mut tasks = 0_u64;
-    for (at, step) in spec.steps.iter().enumerate() {
+    for (index, step) in spec.steps.iter().enumerate() {
         if step.count == 0 {
-            return fail(format_compact!("step {at} has no tasks"));
+            return fail(format_compact!("step {index} has no tasks"));
         }
-        if let Some(it) = step.after.iter().find(|it| at <= **it as usize) {
+        if let Some(it) = step.after.iter().find(|it| index <= **it as usize) {
             return fail(format_compact!(
-                "step {at} waits for step {it}, which is not an earlier one"
+                "step {index} waits for step {it}, which is not an earlier one"
             ));
         }
         tasks += u64::from(step.count);
     }
-    let all = tasks * u64::from(spec.repeat_count.max(1));
-    if TASKS_MAX < tasks || RUNS_MAX < all {
+    let total = tasks * u64::from(spec.repeat_count.max(1));
+    if TASKS_MAX < tasks || RUNS_MAX < total {
         return fail(format_compact!(
             "{tasks} tasks in {} occurrences; {TASKS_MAX} in one and {RUNS_MAX} in all are accepted",
             spec.repeat_count.max(1)
@@ -54,23 +54,23 @@
 /// Returns what is wrong, with the queue and the bad value.
 pub fn check_queues(config: &QueueConfig) -> Result<(), ValidationError> {
     let fail = |why: CompactString| Err(ValidationError(why));
-    let mut places = std::collections::BTreeSet::new();
-    for it in &config.queues {
-        if !config.services.contains(&it.service) {
+    let mut urls = std::collections::BTreeSet::new();
+    for queue in &config.queues {
+        if !config.services.contains(&queue.service) {
             return fail(format_compact!(
                 "queue {} names unknown service '{}'",
-                it.name,
-                it.service
+                queue.name,
+                queue.service
             ));
         }
-        if it.timeout_ms == 0 {
-            return fail(format_compact!("queue {} has a timeout of 0 ms", it.name));
+        if queue.timeout_ms == 0 {
+            return fail(format_compact!("queue {} has a timeout of 0 ms", queue.name));
         }
-        if !places.insert((&it.host, &it.path_prefix)) {
+        if !urls.insert((&queue.host, &queue.path_prefix)) {
             return fail(format_compact!(
                 "{}{} is the place of two queues",
-                it.host,
-                it.path_prefix
+                queue.host,
+                queue.path_prefix
             ));
         }
     }
--- a/src/control/state/workflows/workers.rs
+++ b/src/control/state/workflows/workers.rs
@@ -1,4 +1,4 @@
-//! The workers' lifetimes and what is placed on each.
+//! Worker incarnations and the runs placed on each.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -10,28 +10,28 @@
     prelude::*,
 };
 
-/// One lifetime of a worker.
+/// One incarnation of a worker.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Worker {
     pub name: CompactString,
-    /// The node process beside it.
+    /// Address of the worker's node process.
     pub node: SocketAddr,
     pub service: CompactString,
     pub zone: CompactString,
     pub kind: CompactString,
     pub rack: CompactString,
     pub capacity: Resources,
-    /// Sum of what its runs reserve.
+    /// Sum of the reservations of its runs.
     pub used: Resources,
-    /// Processor that fillers among its runs would use, beside what is reserved.
+    /// CPU that its best-effort tasks (fillers) would use, in addition to `used`.
     pub filler_millicores: u32,
     pub runs: BTreeSet<RunRef>,
-    /// Ends up to here are in the ledger.
+    /// Run ends up to this cursor are recorded.
     pub cursor: u64,
 }
 
 impl Worker {
-    /// Returns whether `need` fits beside what is placed here.
+    /// Returns whether `need` fits into the capacity that is not reserved.
     pub fn has_capacity_for(&self, need: Resources) -> bool {
         fits(add(self.used, need), self.capacity)
     }
@@ -51,49 +51,45 @@
     }
 }
 
-/// All workers that may run something.
+/// All worker incarnations that may have runs.
 #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
 pub struct Workers {
     workers: BTreeMap<WorkerId, Worker>,
     last_id: u64,
-    /// The lifetimes beside each node: one, but for an instant while another enrols.
+    /// Worker incarnations by node address: one per node, except briefly while another registers.
     #[serde(skip)]
     by_node: HashMap<SocketAddr, Vec<WorkerId>>,
 }
 
 impl Workers {
-    /// Returns a worker.
     pub fn get(&self, id: WorkerId) -> Option<&Worker> {
         self.workers.get(&id)
     }
 
-    /// Returns the lifetime with a name beside a node.
+    /// Returns the worker incarnation with this name at a node.
     pub fn find(&self, node: SocketAddr, name: &str) -> Option<WorkerId> {
-        let beside = self.by_node.get(&node)?;
-        beside.iter().copied().find(|id| self.get(*id).is_some_and(|it| it.name == name))
+        let ids = self.by_node.get(&node)?;
+        ids.iter().copied().find(|id| self.get(*id).is_some_and(|it| it.name == name))
     }
 
-    /// Returns all workers.
     pub fn iter(&self) -> impl Iterator<Item = (WorkerId, &Worker)> {
         self.workers.iter().map(|(id, it)| (*id, it))
     }
 
-    /// Returns how many workers there are.
     pub fn len(&self) -> usize {
         self.workers.len()
     }
 
-    /// Returns whether there is no worker.
     pub fn is_empty(&self) -> bool {
         self.workers.is_empty()
     }
 
-    /// Returns the lifetimes beside a node.
+    /// Returns the worker incarnations at a node.
     pub fn ids_at_node(&self, node: SocketAddr) -> Vec<WorkerId> {
         self.by_node.get(&node).cloned().unwrap_or_default()
     }
 
-    /// Returns the newest enrolment so far, whether or not it still holds.
+    /// Returns the id of the worker registered last, which may have been removed since.
     pub fn last_id(&self) -> WorkerId {
         WorkerId(self.last_id)
     }
@@ -104,9 +100,9 @@
 
     pub(super) fn remove(&mut self, id: WorkerId) -> Option<Worker> {
         let res = self.workers.remove(&id)?;
-        if let Some(beside) = self.by_node.get_mut(&res.node) {
-            beside.retain(|it| *it != id);
-            if beside.is_empty() {
+        if let Some(ids) = self.by_node.get_mut(&res.node) {
+            ids.retain(|it| *it != id);
+            if ids.is_empty() {
                 self.by_node.remove(&res.node);
             }
         }
@@ -115,21 +111,21 @@
 
     pub(super) fn rebuild_index(&mut self) {
         self.by_node = HashMap::new();
-        for (id, it) in &self.workers {
-            self.by_node.entry(it.node).or_default().push(*id);
+        for (id, worker) in &self.workers {
+            self.by_node.entry(worker.node).or_default().push(*id);
         }
     }
 
-    pub(super) fn enrol(&mut self, it: &EnrolWorker) -> WorkerId {
+    pub(super) fn enrol(&mut self, registration: &EnrolWorker) -> WorkerId {
         self.last_id += 1;
         let worker = Worker {
-            name: it.name.clone(),
-            node: it.node,
-            service: it.service.clone(),
-            zone: it.zone.clone(),
-            kind: it.kind.clone(),
-            rack: it.rack.clone(),
-            capacity: it.capacity,
+            name: registration.name.clone(),
+            node: registration.node,
+            service: registration.service.clone(),
+            zone: registration.zone.clone(),
+            kind: registration.kind.clone(),
+            rack: registration.rack.clone(),
+            capacity: registration.capacity,
             used: NO_RESOURCES,
             filler_millicores: 0,
             runs: BTreeSet::new(),
--- a/src/control/state/workflows/workflow.rs
+++ b/src/control/state/workflows/workflow.rs
@@ -1,4 +1,4 @@
-//! One workflow: its steps, their tasks and the runs of these.
+//! One workflow: its steps, their tasks and the runs of the tasks.
 
 use std::{collections::HashSet, sync::Arc};
 
@@ -15,9 +15,9 @@
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Task {
     pub is_done: bool,
-    /// Runs that ended by the task's or the worker's fault.
+    /// Number of runs that counted as failed.
     pub failures: u32,
-    /// Highest run number given so far.
+    /// Highest run number used so far.
     pub last_run: u32,
     /// Runs that may be on a worker.
     pub runs: Vec<TaskRun>,
@@ -59,38 +59,42 @@
     pub spec: Arc<WorkflowSpec>,
     pub accepted_ms: u64,
     pub occurrences: Vec<Occurrence>,
-    /// Whether a run was ever placed.
+    /// Whether a run was ever placed on a worker.
     pub has_begun: bool,
-    /// How it ended, once it has.
+    /// The final phase, once the workflow has ended.
     end: Option<WorkflowPhase>,
     pub ended_ms: u64,
 }
 
 impl Workflow {
-    pub(super) fn new(it: &SubmitWorkflow) -> Workflow {
-        let steps = || {
-            let tasks = |step: &WorkflowStep| vec![Task::default(); step.count as usize];
-            let states =
-                it.spec.steps.iter().map(|it| StepState { tasks: tasks(it), done_count: 0 });
+    pub(super) fn new(submission: &SubmitWorkflow) -> Workflow {
+        let new_occurrence = || {
+            let new_tasks = |step: &WorkflowStep| vec![Task::default(); step.count as usize];
+            let states = submission
+                .spec
+                .steps
+                .iter()
+                .map(|it| StepState { tasks: new_tasks(it), done_count: 0 });
             Occurrence { steps: states.collect() }
         };
         Workflow {
-            queue: it.queue.clone(),
-            spec: Arc::new(it.spec.clone()),
-            accepted_ms: it.accepted_ms,
-            occurrences: (0..it.spec.repeat_count.max(1)).map(|_| steps()).collect(),
+            queue: submission.queue.clone(),
+            spec: Arc::new(submission.spec.clone()),
+            accepted_ms: submission.accepted_ms,
+            occurrences: (0..submission.spec.repeat_count.max(1))
+                .map(|_| new_occurrence())
+                .collect(),
             has_begun: false,
             end: None,
             ended_ms: 0,
         }
     }
 
-    /// Returns whether it is not at its end.
+    /// Returns whether the workflow has not ended.
     pub fn is_active(&self) -> bool {
         self.end.is_none()
     }
 
-    /// Returns where it stands.
     pub fn phase(&self) -> WorkflowPhase {
         match self.end {
             Some(it) => it,
@@ -99,13 +103,12 @@
         }
     }
 
-    /// Returns a task.
-    pub fn task(&self, it: TaskRef) -> Option<&Task> {
-        let steps = &self.occurrences.get(it.occurrence as usize)?.steps;
-        steps.get(it.step as usize)?.tasks.get(it.index as usize)
+    pub fn task(&self, task: TaskRef) -> Option<&Task> {
+        let steps = &self.occurrences.get(task.occurrence as usize)?.steps;
+        steps.get(task.step as usize)?.tasks.get(task.index as usize)
     }
 
-    /// Returns when an occurrence is due, by the time of day.
+    /// Returns the time of day at which an occurrence is due, in ms since the Unix epoch.
     pub fn due_ms(&self, occurrence: usize) -> u64 {
         match self.spec.repeat_count {
             0 => 0,
@@ -120,36 +123,40 @@
             .all(|it| occurrence.steps.get(*it as usize).is_some_and(StepState::is_done))
     }
 
-    /// Returns whether a run of it may be on a worker.
+    /// Returns whether a run of the workflow may be on a worker.
     pub fn has_live_runs(&self) -> bool {
         self.runs().next().is_some()
     }
 
-    /// Returns whether a run of it may be on one of some workers.
+    /// Returns whether a run of the workflow may be on one of `workers`.
     pub fn has_run_on_any(&self, workers: &HashSet<WorkerId>) -> bool {
         self.runs().any(|it| workers.contains(&it.worker))
     }
 
-    /// Returns the workers of other runs of a task that is done; of its whole step if it is a gang.
-    pub(super) fn runs_of_done(&self, at: TaskRef) -> impl Iterator<Item = WorkerId> {
-        let occurrence = self.occurrences.get(at.occurrence as usize);
-        let state = occurrence.and_then(|it| it.steps.get(at.step as usize));
-        let is_gang = self.spec.steps.get(at.step as usize).is_some_and(|it| it.gang);
+    /// Returns the workers with remaining runs of a task if it is done, or of all done tasks of its
+    /// step if the step is a gang.
+    pub(super) fn workers_with_runs_of_done(
+        &self,
+        task: TaskRef,
+    ) -> impl Iterator<Item = WorkerId> {
+        let occurrence = self.occurrences.get(task.occurrence as usize);
+        let state = occurrence.and_then(|it| it.steps.get(task.step as usize));
+        let is_gang = self.spec.steps.get(task.step as usize).is_some_and(|it| it.gang);
         let tasks = state.into_iter().flat_map(|it| it.tasks.iter().enumerate());
-        let done =
-            tasks.filter(move |(index, it)| it.is_done && (is_gang || *index == at.index as usize));
-        done.flat_map(|(_, it)| it.runs.iter().map(|it| it.worker))
+        let done_tasks = tasks
+            .filter(move |(index, it)| it.is_done && (is_gang || *index == task.index as usize));
+        done_tasks.flat_map(|(_, it)| it.runs.iter().map(|it| it.worker))
     }
 
-    /// Returns its runs that may be on a worker.
+    /// Returns the runs of the workflow that may be on a worker.
     pub fn runs(&self) -> impl Iterator<Item = &TaskRun> {
         let steps = self.occurrences.iter().flat_map(|it| &it.steps);
         steps.flat_map(|it| &it.tasks).flat_map(|it| &it.runs)
     }
 
-    fn task_mut(&mut self, it: TaskRef) -> Option<&mut Task> {
-        let steps = &mut self.occurrences.get_mut(it.occurrence as usize)?.steps;
-        steps.get_mut(it.step as usize)?.tasks.get_mut(it.index as usize)
+    fn task_mut(&mut self, task: TaskRef) -> Option<&mut Task> {
+        let steps = &mut self.occurrences.get_mut(task.occurrence as usize)?.steps;
+        steps.get_mut(task.step as usize)?.tasks.get_mut(task.index as usize)
     }
 
     pub(super) fn end(&mut self, phase: WorkflowPhase, time_ms: u64) {
@@ -159,7 +166,8 @@
         }
     }
 
-    /// Notes a run; returns whether it makes sense: a new number for a task that needs it.
+    /// Records a run and returns true, or returns false if the run is invalid: its number must be
+    /// new, and its task must need another run.
     pub(super) fn begin(&mut self, run: RunRef, worker: WorkerId) -> bool {
         let Some(step) = self.spec.steps.get(run.task.step as usize) else { return false };
         let copies_max = if step.duplicates { 2 } else { 1 };
@@ -179,7 +187,7 @@
         }
     }
 
-    /// Takes in the end of a run; returns how the workflow ends by it, if it does.
+    /// Applies the end of a run. Returns the final phase if the workflow ends by it.
     pub(super) fn finish(
         &mut self,
         worker: WorkerId,
@@ -201,21 +209,23 @@
     }
 
     fn keep_checkpoint(&mut self, step: &WorkflowStep, end: &RunEnd) {
-        let at = end.run.task;
-        // The progress of a gang is one, whichever member tells it.
-        let indexes = if step.gang { 0..step.count } else { at.index..at.index + 1 };
+        let task_ref = end.run.task;
+        // A gang has one checkpoint, whichever member reports it.
+        let indexes = if step.gang { 0..step.count } else { task_ref.index..task_ref.index + 1 };
         for index in indexes {
-            if let Some(task) = self.task_mut(TaskRef { index, ..at }) {
+            if let Some(task) = self.task_mut(TaskRef { index, ..task_ref }) {
                 task.checkpoint = end.checkpoint.clone();
             }
         }
     }
 
-    fn note_done(&mut self, step: &WorkflowStep, at: TaskRef) {
-        let Some(occurrence) = self.occurrences.get_mut(at.occurrence as usize) else { return };
-        let Some(state) = occurrence.steps.get_mut(at.step as usize) else { return };
-        // One such end stands for all members of a gang.
-        let indexes = if step.gang { 0..step.count } else { at.index..at.index + 1 };
+    fn note_done(&mut self, step: &WorkflowStep, task_ref: TaskRef) {
+        let Some(occurrence) = self.occurrences.get_mut(task_ref.occurrence as usize) else {
+            return;
+        };
+        let Some(state) = occurrence.steps.get_mut(task_ref.step as usize) else { return };
+        // One member that is done completes all members of a gang.
+        let indexes = if step.gang { 0..step.count } else { task_ref.index..task_ref.index + 1 };
         for index in indexes {
             if let Some(task) = state.tasks.get_mut(index as usize)
                 && !task.is_done
@@ -229,10 +239,10 @@
     fn note_failed(
         &mut self,
         step: &WorkflowStep,
-        at: TaskRef,
+        task_ref: TaskRef,
         attempts_max: u32,
     ) -> Option<WorkflowPhase> {
-        let task = self.task_mut(at)?;
+        let task = self.task_mut(task_ref)?;
         task.failures += 1;
         if step.lasting || task.is_done {
             return None;
@@ -240,8 +250,11 @@
         let failures = match step.gang {
             false => task.failures,
             true => {
-                let state =
-                    self.occurrences.get(at.occurrence as usize)?.steps.get(at.step as usize)?;
+                let state = self
+                    .occurrences
+                    .get(task_ref.occurrence as usize)?
+                    .steps
+                    .get(task_ref.step as usize)?;
                 state.tasks.iter().map(|it| it.failures).sum()
             }
         };
@@ -249,7 +262,8 @@
     }
 }
 
-/// Returns what one task of a step takes from its worker.
+/// Returns the resources that one task of a step reserves on its worker. A best-effort task
+/// (filler) reserves no CPU.
 pub fn reservation_of(step: &WorkflowStep) -> Resources {
     let cpu_millicores = if step.filler { 0 } else { step.need.cpu_millicores };
     Resources { cpu_millicores, ..step.need }
--- a/src/util/group_id.rs
+++ b/src/util/group_id.rs
@@ -1,12 +1,11 @@
-//! Identifiers that carry region and group.
+//! Identifiers that include their region and control group.
 
 const INDEX_BITS: u32 = 48;
 const INDEX_MASK: u64 = (1 << INDEX_BITS) - 1;
 
-/// The region and control group that an identifier was made in.
+/// The region and control group in which an identifier was assigned.
 ///
-/// Identifiers carry both from the first day, so that a second group or region never meets an
-/// identifier of another.
+/// Identifiers include both, so that those of different groups or regions never collide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Place {
     pub region: u8,
@@ -14,15 +13,15 @@
 }
 
 impl Place {
-    /// Packs `index` with this place into one number.
+    /// Packs region, group and `index` into one number.
     ///
     /// ```
     /// use aspenrail::util::{Place, index_of};
     ///
-    /// let here = Place { region: 2, group: 1 };
-    /// let id = here.pack(7);
+    /// let group = Place { region: 2, group: 1 };
+    /// let id = group.pack(7);
     /// assert_eq!(index_of(id), 7);
-    /// assert!(here.owns(id));
+    /// assert!(group.owns(id));
     /// assert!(!Place { region: 1, group: 1 }.owns(id));
     /// ```
     pub fn pack(self, index: u64) -> u64 {
@@ -31,13 +30,13 @@
             | (index & INDEX_MASK)
     }
 
-    /// Returns whether `packed` was made in this place.
+    /// Returns whether `packed` was assigned in this region and group.
     pub fn owns(self, packed: u64) -> bool {
         packed & !INDEX_MASK == self.pack(0)
     }
 }
 
-/// Returns the index within its place.
+/// Returns the index of an identifier within its region and group.
 pub fn index_of(packed: u64) -> u64 {
     packed & INDEX_MASK
 }
--- a/src/util/incarnation.rs
+++ b/src/util/incarnation.rs
@@ -1,15 +1,15 @@
 use crate::prelude::*;
 
-/// Parts the id of a worker from the start of one of its lifetimes.
-const START_MARK: char = '@';
+/// Separates the id of a worker from the start time of an incarnation.
+const START_SEPARATOR: char = '@';
 
-/// Returns the name of one lifetime of a worker.
+/// Returns the name of a worker incarnation.
 ///
-/// A worker may start again under the id that it had, and then knows nothing of before. So whatever
-/// is kept, compared or sent of a lifetime goes by its id and its start together. The start is a
-/// reading of a clock that may be set back: it tells lifetimes apart, and nothing of their order.
+/// A worker may restart under the same id and then knows nothing of its earlier runs. So data about
+/// an incarnation is stored, compared and sent under id and start time together. The start time is
+/// read from a clock that may be set back: it distinguishes incarnations, but does not order them.
 ///
-/// A worker that does not tell its start goes by its id alone.
+/// A worker that does not report its start time is named by its id alone.
 ///
 /// # Example
 ///
@@ -23,14 +23,14 @@
 /// ```
 pub fn incarnation_name(id: &str, started_unix_ms: Option<u64>) -> CompactString {
     match started_unix_ms {
-        Some(it) => format_compact!("{id}{START_MARK}{it}"),
+        Some(it) => format_compact!("{id}{START_SEPARATOR}{it}"),
         None => id.into(),
     }
 }
 
-/// Returns the id in the name of a lifetime; nothing where that is an id alone.
+/// Returns the worker id in an incarnation name, or `None` if the name has no start time.
 pub fn id_of_incarnation(name: &str) -> Option<&str> {
-    let (id, start) = name.rsplit_once(START_MARK)?;
-    let is_start = !start.is_empty() && start.bytes().all(|it| it.is_ascii_digit());
-    is_start.then_some(id)
+    let (id, start) = name.rsplit_once(START_SEPARATOR)?;
+    let is_start_time = !start.is_empty() && start.bytes().all(|it| it.is_ascii_digit());
+    is_start_time.then_some(id)
 }
--- a/src/util/mod.rs
+++ b/src/util/mod.rs
@@ -1,4 +1,4 @@
-//! Small helpers without a concept of their own.
+//! Clocks, digests and identifiers that all parts use.
 
 mod clock;
 mod digest;
--- a/src/util/step.rs
+++ b/src/util/step.rs
@@ -2,7 +2,7 @@
 
 use crate::schema::messages::{TaskRef, WorkflowId};
 
-/// A step of a workflow in one occurrence; its tasks share one load.
+/// A step of a workflow in one occurrence. All its tasks cause the same load.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
@@ -14,7 +14,7 @@
 
 impl StepRef {
     /// Returns the step of a task.
-    pub fn of_task(it: TaskRef) -> StepRef {
-        StepRef { workflow: it.workflow, occurrence: it.occurrence, step: it.step }
+    pub fn of_task(task: TaskRef) -> StepRef {
+        StepRef { workflow: task.workflow, occurrence: task.occurrence, step: task.step }
     }
 }
