--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -1,26 +1,25 @@
-//! Calls of a worker, and what they come back with.
+//! Calls of a worker, their results, and the messages that a worker sends on its own.
 
 use crate::{prelude::*, util::incarnation_name};
 
 /// One call of the worker beside this node.
 #[derive(Clone, Debug)]
 pub struct WorkerCall {
-    /// The id of the lifetime that it is meant for; one with another id refuses it.
+    /// Worker id that the call is meant for; a worker with another id refuses it.
     pub worker: CompactString,
-    /// Term of the leader on whose word the call is made; the worker refuses older ones.
+    /// Fencing token of the leader's grant; the worker refuses calls with an older one.
     pub token: u64,
     pub action: Action,
 }
 
-/// What a worker is asked to do.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Prolongs the lease of all that runs, takes note of ends, and lists what runs.
+    /// Renews the lease of all running tasks, acknowledges ends, and lists running and ended runs.
     Poll {
-        /// On the worker's clock; without it nothing is prolonged.
+        /// By the worker's clock; `None` renews no lease.
         lease_until_ms: Option<u64>,
         acked_cursor: u64,
-        /// Longest wait for an end.
+        /// Longest time for which the worker waits for an end before it answers.
         wait_ms: u64,
     },
     Start {
@@ -32,7 +31,7 @@
     Stop {
         run: RunRef,
     },
-    /// Lets a task work at a share of its speed.
+    /// Limits a task to a share of its full speed.
     Throttle {
         run: RunRef,
         speed_percent: u32,
@@ -44,14 +43,14 @@
 pub enum CallResult {
     RunList {
         clock_ms: u64,
-        /// Start of the lifetime that answers, where it says so.
+        /// Start time of the incarnation that answers, if reported.
         started_unix_ms: Option<u64>,
         running: Vec<RunningTask>,
         ended: Vec<EndedRun>,
     },
-    /// As `Held`, with rows that cannot be read, or cut short, where none of them is unreadable: what
-    /// is not listed may run all the same. Ends behind an unreadable row stand apart, since to
-    /// acknowledge one is to acknowledge all before.
+    /// Like `RunList`, but incomplete: rows are unreadable, or the list of ends was cut short if
+    /// `unreadable_rows` is 0. Runs that are not listed may still run. Ends after an unreadable row
+    /// are kept apart, since acknowledging an end acknowledges all ends before it.
     PartialRunList {
         clock_ms: u64,
         started_unix_ms: Option<u64>,
@@ -67,49 +66,48 @@
         clock_ms: u64,
         cause: CallRefusal,
     },
-    /// Another lifetime of the worker answered.
+    /// Another incarnation of the worker answered.
     OtherLifetime,
-    /// The worker did nothing, and says that it cannot.
+    /// The worker did not carry out the call, and reports that it is unable to.
     Unhealthy,
-    /// The worker cannot read the call; a repetition would not help.
+    /// The call was rejected as malformed, or its answer is unreadable; a retry would not help.
     Invalid(CompactString),
-    /// Nobody listens there any more.
+    /// No process listens at the worker's address.
     ConnectionRefused,
-    /// No answer: it may have been carried out, or may yet be.
+    /// No answer: the call may have been carried out, or may still be.
     NoAnswer,
 }
 
 /// Why a worker refused a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallRefusal {
-    /// A leader of a later term has spoken.
+    /// The worker has received a newer fencing token.
     Fenced,
-    /// A run with this number or a higher one was there already.
+    /// The worker already had a run of the task with this number or a higher one.
     Superseded,
-    /// The lease in the call is over.
+    /// The lease in the call has expired.
     Late,
     Room,
-    /// Its ticket is missing or no longer valid.
+    /// The run's ticket is missing or no longer valid.
     Ticket,
 }
 
-/// Why what was said of a worker names none for use.
+/// Why a worker's request is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnnouncementRejection {
-    /// No JSON, or not of this size or encoding.
+    /// Not JSON, of an unsupported size or encoding, or for an unknown path or method.
     Unreadable,
-    /// Fields are missing, or of another type.
+    /// Fields are missing, empty or of the wrong type.
     Malformed,
-    /// A state that is not known.
     UnknownState,
-    /// A pool of workers that the configuration does not name.
+    /// A service that the configuration does not name.
     UnknownService,
-    /// No newer than what was said before, or of a lifetime that is over.
+    /// No newer than an earlier announcement, or of an incarnation that has ended.
     Outdated,
 }
 
 impl AnnouncementRejection {
-    /// All causes, for counters that exist from the start.
+    /// All causes, so that each counter exists from the start.
     pub const ALL: [AnnouncementRejection; 5] = [
         AnnouncementRejection::Unreadable,
         AnnouncementRejection::Malformed,
@@ -130,10 +128,10 @@
     }
 }
 
-/// What a worker says of itself.
+/// A worker's periodic report about itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Announcement {
-    /// Its id, which an earlier lifetime may have had.
+    /// Worker id, which an earlier incarnation may have used.
     pub id: CompactString,
     pub service: CompactString,
     pub zone: CompactString,
@@ -141,34 +139,34 @@
     pub rack: CompactString,
     pub capacity: Resources,
     pub draining: bool,
-    /// Least time that is left while it drains.
+    /// Minimum time that is left while the worker drains.
     pub remaining_ms: u64,
     pub clock_ms: u64,
-    /// Rises with each announcement of a lifetime.
+    /// Increases with each announcement of an incarnation.
     pub sequence: u64,
-    /// Unix millisecond of its start, by the worker's clock; nothing where it does not say so.
+    /// Unix time of the worker's start by its own clock, if reported.
     pub started_unix_ms: Option<u64>,
 }
 
 impl Announcement {
-    /// Returns the name of the lifetime that announces itself.
     pub fn incarnation_name(&self) -> CompactString {
         incarnation_name(&self.id, self.started_unix_ms)
     }
 }
 
-/// What a worker says as it ends.
+/// A worker's report that it exits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Departure {
     pub id: CompactString,
-    /// Start of the lifetime that ends, where it says so.
+    /// Start time of the incarnation that exits, if reported.
     pub started_unix_ms: Option<u64>,
 }
 
 impl Departure {
-    /// Returns whether this may be said by the lifetime that announced itself so.
-    pub(super) fn is_of(&self, it: &Announcement) -> bool {
-        self.id == it.id
-            && (self.started_unix_ms.is_none() || self.started_unix_ms == it.started_unix_ms)
+    /// Returns whether the incarnation of `announcement` may have sent this.
+    pub(super) fn may_be_from(&self, announcement: &Announcement) -> bool {
+        self.id == announcement.id
+            && (self.started_unix_ms.is_none()
+                || self.started_unix_ms == announcement.started_unix_ms)
     }
 }
--- a/src/node/fillers.rs
+++ b/src/node/fillers.rs
@@ -1,4 +1,4 @@
-//! The fillers on a worker: what they use, and how fast each may work.
+//! CPU usage and speeds of the best-effort tasks (fillers) on a worker.
 
 use std::collections::BTreeMap;
 
@@ -12,15 +12,17 @@
 };
 
 impl WorkerIncarnation {
-    /// Returns whether fillers work beside tasks that serve, so that tails must be watched.
-    pub(super) fn must_watch(&self) -> bool {
-        let has = |is_wanted: fn(&TaskRole) -> bool| {
-            self.running.iter().filter_map(|it| self.roles.get(&it.run)).any(is_wanted)
+    /// Returns whether fillers run beside serving tasks, so that tail latency must be watched.
+    pub(super) fn has_fillers_beside_serving(&self) -> bool {
+        let runs_any = |matches_role: fn(&TaskRole) -> bool| {
+            self.running.iter().filter_map(|it| self.roles.get(&it.run)).any(matches_role)
         };
-        has(|it| matches!(it, TaskRole::Filler(_))) && has(|it| matches!(it, TaskRole::Serving(_)))
+        runs_any(|it| matches!(it, TaskRole::Filler(_)))
+            && runs_any(|it| matches!(it, TaskRole::Serving(_)))
     }
 
-    /// Returns what runs and serves, with its image; one that has just begun has no tail yet.
+    /// Returns the running serving tasks with their images. A task that has just started has no
+    /// latency reading yet, and is left out.
     fn serving(&self) -> Vec<(ServingReading, &CompactString)> {
         let reading = |it: &RunningTask| match self.roles.get(&it.run) {
             Some(TaskRole::Serving(role)) if 0 < it.load => {
@@ -32,8 +34,8 @@
         self.running.iter().filter_map(reading).collect()
     }
 
-    /// Returns the fillers, with what each costs the tasks that serve, and what is left of those
-    /// that have just ended.
+    /// Returns the fillers, with the headroom that each costs the serving tasks. Fillers that have
+    /// just ended are included for as long as their usage affects tail latency.
     fn fillers(&self, serving: &[&CompactString]) -> Vec<FillerReading> {
         let costs = |filler: &CompactString| -> Vec<f64> {
             serving.iter().map(|image| self.cost_percent(image, filler)).collect()
@@ -56,7 +58,7 @@
         running.chain(ended).collect()
     }
 
-    /// Returns the fillers that have ended, and that tails still tell of.
+    /// Returns the ended fillers whose usage still affects the latency readings.
     fn ended_fillers(&self) -> impl Iterator<Item = (RunRef, &ImageUsage)> {
         let has_ended = |run: RunRef| !self.running.iter().any(|it| it.run == run);
         self.filler_usages
@@ -65,20 +67,20 @@
             .filter(move |(run, _)| has_ended(*run))
     }
 
-    /// Returns what such fillers used, by image.
-    pub(super) fn faded(&self) -> Vec<FillerUse> {
+    /// Returns the CPU usage of such ended fillers, by image.
+    pub(super) fn ended_filler_uses(&self) -> Vec<FillerUse> {
         let mut cores: BTreeMap<&CompactString, f64> = BTreeMap::new();
         for (_, it) in self.ended_fillers() {
             *cores.entry(&it.image).or_default() += it.usage.cores;
         }
-        let used = |(image, cores): (&CompactString, f64)| FillerUse {
+        let filler_use = |(image, cores): (&CompactString, f64)| FillerUse {
             image: image.clone(),
             cpu_millicores: (cores * 1_000.0) as u32,
         };
-        cores.into_iter().map(used).collect()
+        cores.into_iter().map(filler_use).collect()
     }
 
-    /// Begins to count what a filler uses that has just begun.
+    /// Starts the usage window of a run if it is a filler.
     pub(super) fn begin_usage(&mut self, run: RunRef, now: Now) {
         if let Some(TaskRole::Filler(role)) = self.roles.get(&run) {
             let (image, usage) = (role.image.clone(), CpuUsageWindow::starting_at(now.mono_ms));
@@ -86,34 +88,34 @@
         }
     }
 
-    /// Takes in what fillers were read to use.
-    fn read_usages(&mut self, now: Now) {
+    /// Updates the usage windows from the CPU readings of the fillers.
+    fn observe_usages(&mut self, now: Now) {
         let mut usages = std::mem::take(&mut self.filler_usages);
         usages.values_mut().for_each(|it| it.usage.expire(now.mono_ms));
-        for it in &self.running {
-            let Some(TaskRole::Filler(role)) = self.roles.get(&it.run) else { continue };
-            let told =
-                f64::from(self.sent_speed_percents.get(&it.run).copied().unwrap_or(100)) / 100.0;
-            let wanted_cores = f64::from(role.cpu_millicores) / 1_000.0 * told;
-            let read_cores = f64::from(it.load) / 1_000.0;
-            let first =
+        for task in &self.running {
+            let Some(TaskRole::Filler(role)) = self.roles.get(&task.run) else { continue };
+            let sent_speed =
+                f64::from(self.sent_speed_percents.get(&task.run).copied().unwrap_or(100)) / 100.0;
+            let allowed_cores = f64::from(role.cpu_millicores) / 1_000.0 * sent_speed;
+            let read_cores = f64::from(task.load) / 1_000.0;
+            let new_usage =
                 || ImageUsage { image: role.image.clone(), usage: CpuUsageWindow::default() };
-            let used = usages.entry(it.run).or_insert_with(first);
-            used.usage.observe(read_cores, wanted_cores, now.mono_ms);
+            let image_usage = usages.entry(task.run).or_insert_with(new_usage);
+            image_usage.usage.observe(read_cores, allowed_cores, now.mono_ms);
         }
         usages.retain(|_, it| it.usage.affects_tails());
         self.filler_usages = usages;
     }
 
-    /// Decides anew how fast each filler may work.
+    /// Recomputes the speeds of all fillers after new readings.
     pub(super) fn throttle_fillers(&mut self, now: Now) {
-        self.read_usages(now);
+        self.observe_usages(now);
         self.update_speeds(|throttler, serving, fillers| {
             throttler.observe(serving, fillers, now.mono_ms)
         });
     }
 
-    /// Decides how fast a filler may work that has just begun, from what was last read.
+    /// Recomputes the speeds after the start of a filler, from the latest readings.
     pub(super) fn throttle_started_filler(&mut self, now: Now) {
         self.update_speeds(|throttler, serving, fillers| {
             throttler.reallocate(serving, fillers, now.mono_ms)
@@ -130,35 +132,37 @@
             let fillers = self.fillers(&images);
             (serving.into_iter().map(|(it, _)| it).collect::<Vec<_>>(), fillers)
         };
-        let sum = |throttler: &Throttler| {
+        let speed_sum = |throttler: &Throttler| {
             fillers.iter().map(|it| throttler.speed_percent(it.run)).sum::<u32>()
         };
-        let before = sum(&self.throttler);
+        let sum_before = speed_sum(&self.throttler);
         decide(&mut self.throttler, &readings, &fillers);
-        let after = sum(&self.throttler);
-        if before != after {
-            let least = readings.iter().map(|it| it.headroom_percent).fold(f64::MAX, f64::min);
+        let sum_after = speed_sum(&self.throttler);
+        if sum_before != sum_after {
+            let least_headroom =
+                readings.iter().map(|it| it.headroom_percent).fold(f64::MAX, f64::min);
             let count = fillers.len().max(1) as u32;
-            tracing::info!(event = "fillers_throttled", worker = %self.name, mean_percent = after / count, from_percent = before / count, least_headroom_percent = least as u64, fillers = fillers.len(), serving = readings.len());
+            tracing::info!(event = "fillers_throttled", worker = %self.name, mean_percent = sum_after / count, from_percent = sum_before / count, least_headroom_percent = least_headroom as u64, fillers = fillers.len(), serving = readings.len());
         }
     }
 
-    /// Returns the fillers that were last told another pace than they may work at.
+    /// Returns the fillers whose speed differs from the last one that was set, unless a call for it
+    /// is under way.
     pub(super) fn speeds_to_send(&self) -> Vec<(RunRef, u32)> {
         let is_filler =
             |it: &&RunningTask| matches!(self.roles.get(&it.run), Some(TaskRole::Filler(_)));
-        let is_told = |run: RunRef, percent: u32| {
+        let is_sent = |run: RunRef, percent: u32| {
             self.sent_speed_percents.get(&run).copied().unwrap_or(100) == percent
                 || self.throttle_calls.values().any(|(it, _)| *it == run)
         };
         let fillers = self.running.iter().filter(is_filler);
-        let paces = fillers.map(|it| (it.run, self.throttler.speed_percent(it.run)));
-        paces.filter(|(run, percent)| !is_told(*run, *percent)).collect()
+        let speeds = fillers.map(|it| (it.run, self.throttler.speed_percent(it.run)));
+        speeds.filter(|(run, percent)| !is_sent(*run, *percent)).collect()
     }
 
     fn cost_percent(&self, serving: &CompactString, filler: &CompactString) -> f64 {
         let known = self.costs.get(&(serving.clone(), filler.clone()));
-        let core = reference_cores(1_000, self.announcement.capacity.cpu_millicores);
-        known.copied().unwrap_or(UNKNOWN_COST_PERCENT * core)
+        let reference_share = reference_cores(1_000, self.announcement.capacity.cpu_millicores);
+        known.copied().unwrap_or(UNKNOWN_COST_PERCENT * reference_share)
     }
 }
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -1,4 +1,4 @@
-//! Orders on their way to the worker, and what comes back.
+//! Delivery of the leader's orders to the worker, and the handling of call results.
 
 use crate::{
     control::state::fits,
@@ -11,26 +11,26 @@
     prelude::*,
 };
 
-/// Time after a list within which another look finds the same lifetime: a worker that crashes is away
-/// for longer.
+/// Time after a run list within which the next poll reaches the same incarnation: a worker that
+/// crashes is away for longer.
 const LIST_FRESH_MS: u64 = 300;
 
-/// Pause between two holds while ends wait for the leader's word.
+/// Pause between two polls while ends wait for the leader's acknowledgement.
 const ACK_PAUSE_MS: u64 = 100;
 
-/// Tries after which a worker that cannot start a run is given up on.
+/// Attempts of a start after which the answer `Unhealthy` ends the retries.
 const UNHEALTHY_TRIES_MAX: u32 = 3;
 
-/// Lists in a row with unreadable rows after which these are passed over: two seconds beside
-/// fillers, and longer than anything that was written in part takes to be whole.
-const GAPS_MAX: u32 = 8;
+/// Consecutive lists with unreadable rows after which these rows are ignored: two seconds beside
+/// fillers, which is longer than any partially written row stays incomplete.
+const INCOMPLETE_LISTS_MAX: u32 = 8;
 
-/// Time for which nobody must listen at a worker's address before it counts as gone: two tries.
-const GONE_AFTER_MS: u64 = 200;
+/// Time for which connections to a worker must be refused before it counts as gone: two attempts.
+const GONE_AFTER_REFUSALS_MS: u64 = 200;
 
 impl WorkerIncarnation {
-    /// Withdraws starts that a complete list of the leader's no longer holds: it gave up on this
-    /// worker meanwhile, and may have begun the task elsewhere.
+    /// Withdraws starts that are missing in a complete list of orders: the leader has given up on
+    /// this worker meanwhile, and may have started the tasks elsewhere.
     pub(super) fn withdraw_starts(&mut self, now: Now, orders: &[RunOrder]) {
         let listed: std::collections::HashSet<_> = orders
             .iter()
@@ -43,32 +43,32 @@
             .orders
             .iter()
             .filter(|(run, it)| matches!(it.order, Order::Start { .. }) && !listed.contains(run))
-            // What is listed here was told to the leader, which is why it is not ordered again.
-            .filter(|(run, _)| !self.knows(**run))
+            // The leader does not repeat the order of a run that was reported to it.
+            .filter(|(run, _)| !self.lists_run(**run))
             .map(|(run, _)| *run)
             .collect();
         for run in withdrawn {
             if let Some(pending) = self.orders.get_mut(&run) {
-                pending.bar(RefusalCause::Superseded, now);
+                pending.block(RefusalCause::Superseded, now);
             }
         }
     }
 
-    /// Gives up on starts that were ordered while the worker had more: they may no longer fit, and
-    /// the leader plans anew with what it has now.
-    fn bar_unfit(&mut self, now: Now) {
+    /// Gives up on starts that were planned for a larger capacity of the worker: they may no longer
+    /// fit, and the leader plans again with the present capacity.
+    fn block_unfit_starts(&mut self, now: Now) {
         let capacity = self.announcement.capacity;
         for pending in self.orders.values_mut() {
             if let Order::Start { planned_capacity, .. } = pending.order
                 && !fits(planned_capacity, capacity)
             {
-                pending.bar(RefusalCause::Room, now);
+                pending.block(RefusalCause::Room, now);
             }
         }
     }
 
-    /// Refuses the starts that never reached a worker that is gone, so that they are not taken for
-    /// what took it down.
+    /// Refuses the starts that were never sent to a worker that is gone, so that they do not count
+    /// as possible causes of its crash.
     fn refuse_unsent(&mut self) {
         let is_unsent = |it: &PendingOrder| {
             matches!(it.order, Order::Start { .. }) && it.call.is_none() && !it.may_still_execute
@@ -78,20 +78,20 @@
         }
     }
 
-    /// Takes in the leader's orders, made for a capacity of the worker; what is known or under way
-    /// already changes nothing.
-    pub(super) fn take_orders(&mut self, now: Now, orders: Vec<RunOrder>, capacity: Resources) {
-        for it in orders {
-            match it {
-                RunOrder::Start(it) => self.take_start(now, it, capacity),
-                RunOrder::Stop(run) => self.take_stop(now, run),
+    /// Applies the leader's orders, which were planned for `capacity`. Idempotent: orders that are
+    /// known or in progress change nothing.
+    pub(super) fn apply_orders(&mut self, now: Now, orders: Vec<RunOrder>, capacity: Resources) {
+        for order in orders {
+            match order {
+                RunOrder::Start(it) => self.apply_start(now, it, capacity),
+                RunOrder::Stop(run) => self.apply_stop(now, run),
                 RunOrder::Role(it) => drop(self.roles.insert(it.run, it.role)),
             }
         }
     }
 
-    /// Notes a look at the worker that brought no list.
-    fn note_no_list(&mut self, now: Now, term: u64, retry_ms: u64, result: &CallResult) {
+    /// Schedules the next poll after one that returned no list, and logs an unexpected result.
+    fn defer_poll(&mut self, now: Now, term: u64, retry_ms: u64, result: &CallResult) {
         self.next_poll_ms = now.mono_ms + retry_ms;
         match result {
             CallResult::NoAnswer | CallResult::ConnectionRefused => (),
@@ -101,21 +101,22 @@
         }
     }
 
-    /// Notes a list with rows that cannot be read; returns whether they have been there for so
-    /// long that they must be somebody else's, so that the rest counts as a whole.
-    fn judge_gap(&mut self, unreadable: usize) -> bool {
+    /// Counts a list with unreadable rows. Returns whether such rows have persisted for so long
+    /// that they must belong to another system; the readable rows then count as the complete list.
+    fn note_unreadable_rows(&mut self, unreadable: usize) -> bool {
         self.incomplete_lists = self.incomplete_lists.saturating_add(1);
-        let is_whole = GAPS_MAX <= self.incomplete_lists;
-        if self.incomplete_lists == 1 || self.incomplete_lists == GAPS_MAX {
+        let is_whole = INCOMPLETE_LISTS_MAX <= self.incomplete_lists;
+        if self.incomplete_lists == 1 || self.incomplete_lists == INCOMPLETE_LISTS_MAX {
             tracing::warn!(event = "rows_unreadable", worker = %self.name, rows = unreadable, lists = self.incomplete_lists, is_whole);
         }
         is_whole
     }
 
-    /// Notes who is there by a look that has ended.
+    /// Notes by the result of a poll whether the worker may have been replaced.
     ///
-    /// An answer that lay unread while this process stood still tells who was there before.
-    fn note_look(&mut self, poll: PendingPoll, result: &CallResult, now: Now) {
+    /// An answer read only after a pause of this process does not show which incarnation is there
+    /// now.
+    fn note_poll_result(&mut self, poll: PendingPoll, result: &CallResult, now: Now) {
         let is_fresh = self.pause_detected_ms <= poll.sent_ms
             && now.mono_ms <= poll.sent_ms + poll.wait_ms + LIST_FRESH_MS;
         match result {
@@ -129,24 +130,23 @@
         }
     }
 
-    /// Notes that a start got no answer.
     fn note_unanswered(&mut self, run: RunRef, now: Now) {
-        let may_come = |found_ms: &u64| now.mono_ms < found_ms + LATE_ORDER_MAX_MS;
-        self.unanswered_starts.retain(|_, it| may_come(it));
+        let may_still_arrive = |noticed_ms: &u64| now.mono_ms < noticed_ms + LATE_ORDER_MAX_MS;
+        self.unanswered_starts.retain(|_, it| may_still_arrive(it));
         self.unanswered_starts.insert(run, now.mono_ms);
     }
 
-    /// Forgets a call under way.
+    /// Drops a pending call, so that its result is ignored and its order can be retried.
     fn forget_call(&mut self, id: u64) {
         self.poll.take_if(|it| it.call == id);
         self.throttle_calls.remove(&id);
         self.orders.values_mut().filter(|it| it.call == Some(id)).for_each(|it| it.call = None);
     }
 
-    /// Settles what became of runs that were told to stop before they were known to run; returns
-    /// whether the leader must hear of one.
-    pub(super) fn settle_barred(&mut self, list_call: u64) -> bool {
-        let barred: Vec<_> = self
+    /// Refuses the blocked runs that did not run by the list of `list_call`. Returns whether there
+    /// is a new refusal to report to the leader.
+    pub(super) fn settle_blocked(&mut self, list_call: u64) -> bool {
+        let blocked: Vec<_> = self
             .orders
             .iter()
             .filter_map(|(run, it)| match it.order {
@@ -158,42 +158,42 @@
             .filter(|(run, _)| !self.running.iter().any(|it| it.run == *run))
             .collect();
         let mut res = false;
-        for (run, cause) in barred {
+        for (run, cause) in blocked {
             self.orders.remove(&run);
-            // One that did run lists its own end.
-            if !self.knows(run) && self.refused.insert(run, cause).is_none() {
+            // A run that did start is listed with its end.
+            if !self.lists_run(run) && self.refused.insert(run, cause).is_none() {
                 res = true;
             }
         }
         res
     }
 
-    fn take_start(&mut self, now: Now, it: StartRun, planned_capacity: Resources) {
-        self.roles.insert(it.run, it.role);
-        let is_known = self.knows(it.run)
-            || self.orders.contains_key(&it.run)
-            || self.refused.contains_key(&it.run);
+    fn apply_start(&mut self, now: Now, start: StartRun, planned_capacity: Resources) {
+        self.roles.insert(start.run, start.role);
+        let is_known = self.lists_run(start.run)
+            || self.orders.contains_key(&start.run)
+            || self.refused.contains_key(&start.run);
         if is_known {
             return;
         }
         let order =
-            Order::Start { payload: it.payload, checkpoint: it.checkpoint, planned_capacity };
+            Order::Start { payload: start.payload, checkpoint: start.checkpoint, planned_capacity };
         let mut pending = PendingOrder::new(order, now);
         if self.announcement.draining {
-            // This process may have just started, with a call of the one before it on its way.
-            pending.bar(RefusalCause::Leaving, now);
+            // A call that this process sent before a restart may still be in transit.
+            pending.block(RefusalCause::Leaving, now);
         }
-        self.orders.insert(it.run, pending);
+        self.orders.insert(start.run, pending);
     }
 
-    fn take_stop(&mut self, now: Now, run: RunRef) {
+    fn apply_stop(&mut self, now: Now, run: RunRef) {
         let is_stopping =
             self.orders.get(&run).is_some_and(|it| !matches!(it.order, Order::Start { .. }));
         let has_ended = self.ended.values().any(|it| it.run == run);
         if is_stopping || has_ended || self.refused.contains_key(&run) {
             return;
         }
-        // A run that never begins lists no end, so the leader is told that it was refused.
+        // The worker lists no end for a run that never starts, so the run is reported as refused.
         let is_running = self.running.iter().any(|it| it.run == run);
         let refused = if is_running { None } else { Some(RefusalCause::Superseded) };
         self.orders.insert(run, PendingOrder::new(Order::Stop { refused }, now));
@@ -213,7 +213,7 @@
 }
 
 impl NodeCore {
-    /// Makes the calls that are due.
+    /// Makes the calls that are due, of the worker and of an unconfirmed one.
     pub(super) fn make_calls(&mut self, now: Now) {
         self.call_worker(now);
         let token = self.worker.as_ref().map_or(0, |it| it.token).max(self.unconfirmed_token);
@@ -233,7 +233,7 @@
             return;
         }
         let Some(worker) = &mut self.worker else { return };
-        worker.bar_unfit(now);
+        worker.block_unfit_starts(now);
         let lease = worker.lease_by_worker_ms(now);
         let mut calls = Vec::new();
         let mut call = |action: Action, next_call: &mut u64| {
@@ -243,19 +243,19 @@
         };
         if worker.poll.is_none() && worker.next_poll_ms <= now.mono_ms {
             worker.may_be_replaced |= worker.listed_ms + LIST_FRESH_MS < now.mono_ms;
-            let watches = worker.must_watch();
+            let watches_tails = worker.has_fillers_beside_serving();
             let may_have_lapsed = worker.may_have_lapsed(now);
             let wait_ms = match worker.listed_term == self.term {
                 false => 0,
                 true if worker.may_be_replaced => 0,
                 true if worker.has_failure_to_note() || may_have_lapsed => 0,
-                true if watches => self.options.watch_wait_ms,
+                true if watches_tails => self.options.watch_wait_ms,
                 true => self.options.hold_wait_ms,
             };
-            // Another lifetime has another clock, and ends of its own with the same numbers.
+            // Another incarnation has another clock, and its own ends under the same cursors.
             let (lease, acked_cursor) = match worker.may_be_replaced {
                 true => (None, 0),
-                // What it has heard is not said again: the call may yet reach another lifetime.
+                // Not repeated once received, since the call may still reach another incarnation.
                 false if worker.acked_cursor == worker.acked_cursor_received => (lease, 0),
                 false => (lease, worker.acked_cursor),
             };
@@ -290,7 +290,7 @@
                     }
                 }
                 (Order::Start { .. }, None) => {
-                    // Nothing may run without a lease; the next grant brings one.
+                    // No run may start without a lease; the next grant renews it.
                     pending.next_ms = now.mono_ms + self.options.retry_ms;
                     continue;
                 }
@@ -312,36 +312,36 @@
 
     pub(super) fn on_call_ended(&mut self, now: Now, id: u64, result: CallResult) {
         if self.unconfirmed.as_ref().is_some_and(|it| it.awaits(id)) {
-            return self.on_newcomer_answered(now, &result);
+            return self.on_unconfirmed_worker_answered(now, &result);
         }
         let Some(worker) = self.worker.as_mut().filter(|it| it.last_call_before < id) else {
             return;
         };
-        if worker.is_anothers(&result) {
+        if worker.is_from_other_incarnation(&result) {
             if !std::mem::replace(&mut worker.is_displaced, true) {
                 tracing::warn!(event = "worker_displaced", worker = %worker.name, runs = worker.running.len());
             }
-            // What is ordered is not answered, and nothing that is listed is its own.
+            // This is no answer to the worker's orders, and the listed runs are not its own.
             return worker.forget_call(id);
         }
         match &result {
             CallResult::RunList { clock_ms, .. }
             | CallResult::PartialRunList { clock_ms, .. }
             | CallResult::Done { clock_ms }
-            | CallResult::Refused { clock_ms, .. } => worker.hear(*clock_ms, now),
+            | CallResult::Refused { clock_ms, .. } => worker.note_contact(*clock_ms, now),
             CallResult::ConnectionRefused => {
                 let since_ms = *worker.missing_since_ms.get_or_insert(now.mono_ms);
-                if since_ms + GONE_AFTER_MS <= now.mono_ms && !worker.is_gone {
+                if since_ms + GONE_AFTER_REFUSALS_MS <= now.mono_ms && !worker.is_gone {
                     tracing::warn!(event = "worker_gone", worker = %worker.name, cause = "connection_refused", missing_ms = now.mono_ms - since_ms);
                     worker.is_gone = true;
                     worker.refuse_unsent();
-                    self.is_dirty = true;
+                    self.needs_report = true;
                 }
             }
             _ => (),
         }
         if let Some(poll) = worker.poll.filter(|it| it.call == id) {
-            return self.on_hold_ended(now, poll, result);
+            return self.on_poll_ended(now, poll, result);
         }
         if let Some((run, percent)) = worker.throttle_calls.remove(&id) {
             if matches!(result, CallResult::Done { .. }) {
@@ -349,11 +349,12 @@
             }
             return;
         }
-        let found = worker.orders.iter().find(|(_, it)| it.call == Some(id)).map(|(run, _)| *run);
-        match found {
+        let order_run =
+            worker.orders.iter().find(|(_, it)| it.call == Some(id)).map(|(run, _)| *run);
+        match order_run {
             Some(run) => self.on_order_ended(now, run, result),
-            // A stop has taken the place of the start that this call was for, or the call is a
-            // hold of an earlier term.
+            // A stop has replaced the start that this call was for, or the call is a poll of an
+            // earlier term.
             None => self.on_late_result(now, result),
         }
     }
@@ -364,26 +365,26 @@
             return;
         };
         if let Some(worker) = &mut self.worker {
-            // Its list of what runs may be old by now, but an end stays an end.
-            for it in ended.into_iter().filter(|it| worker.acked_cursor < it.cursor) {
-                worker.ended.insert(it.cursor, it.end);
-                self.is_dirty = true;
+            // The list of running tasks may be outdated, but ends are final.
+            for run in ended.into_iter().filter(|it| worker.acked_cursor < it.cursor) {
+                worker.ended.insert(run.cursor, run.end);
+                self.needs_report = true;
             }
             worker.next_poll_ms = worker.next_poll_ms.min(now.mono_ms);
         }
     }
 
-    fn on_hold_ended(&mut self, now: Now, poll: PendingPoll, result: CallResult) {
+    fn on_poll_ended(&mut self, now: Now, poll: PendingPoll, result: CallResult) {
         let Some(worker) = &mut self.worker else { return };
         worker.poll = None;
-        worker.note_look(poll, &result, now);
-        let tells_start =
+        worker.note_poll_result(poll, &result, now);
+        let has_known_start =
             |started_unix_ms: Option<u64>| started_unix_ms == worker.announcement.started_unix_ms;
         let (clock_ms, running, ended, is_whole) = match result {
-            // Whose list it is cannot be told.
+            // The list cannot be attributed to an incarnation.
             CallResult::RunList { started_unix_ms, .. }
             | CallResult::PartialRunList { started_unix_ms, .. }
-                if !tells_start(started_unix_ms) =>
+                if !has_known_start(started_unix_ms) =>
             {
                 tracing::warn!(event = "list_ignored", worker = %worker.name, cause = "no_start");
                 worker.next_poll_ms = now.mono_ms + self.options.retry_ms;
@@ -401,37 +402,38 @@
                 unreadable_rows,
                 ..
             } => {
-                let is_whole = 0 < unreadable_rows && worker.judge_gap(unreadable_rows);
+                let is_whole = 0 < unreadable_rows && worker.note_unreadable_rows(unreadable_rows);
                 if is_whole {
                     ended.extend(ended_after_unreadable);
                 }
                 (clock_ms, running, ended, is_whole)
             }
-            result => return worker.note_no_list(now, self.term, self.options.retry_ms, &result),
+            result => return worker.defer_poll(now, self.term, self.options.retry_ms, &result),
         };
         let was_listed = worker.listed_term == self.term;
-        let is_waited_for = worker.take_noted(poll, clock_ms, &ended, now);
-        let known = worker.ended.len();
-        for it in ended.into_iter().filter(|it| worker.acked_cursor < it.cursor) {
-            worker.ended.insert(it.cursor, it.end);
+        let is_awaited_by_leader = worker.update_noted_ends(poll, clock_ms, &ended, now);
+        let ends_before = worker.ended.len();
+        for run in ended.into_iter().filter(|it| worker.acked_cursor < it.cursor) {
+            worker.ended.insert(run.cursor, run.end);
         }
         match is_whole {
-            true => worker.take_list(running, poll.call),
-            false => worker.take_part_of_list(running),
+            true => worker.apply_run_list(running, poll.call),
+            false => worker.apply_partial_run_list(running),
         }
         if is_whole {
             worker.listed_term = self.term;
-            self.is_dirty |= worker.settle_barred(poll.call);
+            self.needs_report |= worker.settle_blocked(poll.call);
         }
-        let live: std::collections::HashSet<_> = worker.running.iter().map(|it| it.run).collect();
-        worker.sent_speed_percents.retain(|run, _| live.contains(run));
-        let pending = &worker.orders;
-        worker.roles.retain(|run, _| live.contains(run) || pending.contains_key(run));
-        let has_news = known < worker.ended.len();
-        // What was saved and how far each run is goes with the next report.
-        self.is_dirty |= has_news || !was_listed || is_waited_for;
+        let listed_runs: std::collections::HashSet<_> =
+            worker.running.iter().map(|it| it.run).collect();
+        worker.sent_speed_percents.retain(|run, _| listed_runs.contains(run));
+        let orders = &worker.orders;
+        worker.roles.retain(|run, _| listed_runs.contains(run) || orders.contains_key(run));
+        let has_new_ends = ends_before < worker.ended.len();
+        // Changes of checkpoints and progress wait for the next periodic report.
+        self.needs_report |= has_new_ends || !was_listed || is_awaited_by_leader;
         worker.throttle_fillers(now);
-        // Ends not yet noted would be listed again at once.
+        // The worker answers at once while it has ends that are not acknowledged.
         let pause_ms = if worker.ended.is_empty() { 0 } else { ACK_PAUSE_MS };
         worker.next_poll_ms = now.mono_ms + pause_ms;
     }
@@ -445,7 +447,7 @@
         match result {
             CallResult::Done { .. } if is_start => {
                 worker.orders.remove(&run);
-                if !worker.knows(run) {
+                if !worker.lists_run(run) {
                     let checkpoint = CompactString::default();
                     let task = RunningTask { run, checkpoint, progress_percent: 0, load: 0 };
                     worker.running.push(task);
@@ -458,7 +460,7 @@
                 match pending.order {
                     Order::Stop { refused: Some(cause) } => {
                         pending.order = Order::Blocked { cause, after_call: self.next_call };
-                        // The hold under way may have been answered before the stop.
+                        // The pending poll may have been answered before the stop.
                         worker.poll = None;
                     }
                     _ => drop(worker.orders.remove(&run)),
@@ -466,19 +468,19 @@
                 worker.next_poll_ms = worker.next_poll_ms.min(now.mono_ms);
             }
             CallResult::Refused { cause: CallRefusal::Room, .. } if is_start => {
-                pending.bar(RefusalCause::Room, now);
+                pending.block(RefusalCause::Room, now);
             }
             CallResult::Refused { cause: CallRefusal::Superseded, .. } if is_start => {
-                pending.bar(RefusalCause::Superseded, now);
+                pending.block(RefusalCause::Superseded, now);
             }
             CallResult::Refused { cause: CallRefusal::Ticket, .. } | CallResult::Invalid(_)
                 if is_start =>
             {
                 tracing::warn!(event = "start_impossible", run = %crate::control::dispatch::run_name(run), outcome = ?result);
-                pending.bar(RefusalCause::Unhealthy, now);
+                pending.block(RefusalCause::Unhealthy, now);
             }
             CallResult::Unhealthy if is_start && UNHEALTHY_TRIES_MAX <= pending.attempts => {
-                pending.bar(RefusalCause::Unhealthy, now);
+                pending.block(RefusalCause::Unhealthy, now);
             }
             CallResult::NoAnswer => {
                 pending.may_still_execute = true;
@@ -493,9 +495,9 @@
 }
 
 impl PendingOrder {
-    /// Gives up on a start: the run is stopped first, so that an earlier call that got no
-    /// answer can never begin it.
-    fn bar(&mut self, cause: RefusalCause, now: Now) {
+    /// Gives up on a start. The run is stopped first, so that an earlier call without an answer can
+    /// never start it.
+    fn block(&mut self, cause: RefusalCause, now: Now) {
         self.order = Order::Stop { refused: Some(cause) };
         self.call = None;
         self.attempts = 0;
--- a/src/node/unconfirmed.rs
+++ b/src/node/unconfirmed.rs
@@ -1,19 +1,18 @@
-//! A lifetime of the worker that has announced itself, until it has answered for itself.
+//! A worker incarnation that has announced itself and is not confirmed yet.
 //!
-//! An announcement alone replaces nobody: it may be a late one of a lifetime that is over. And one
-//! that has the id of the lifetime before may still be reached by orders that were meant for that
-//! one. So it is looked at first, and such orders are barred there, before the leader hears of it:
-//! the leader then begins elsewhere what ran before.
+//! An announcement alone does not replace the known worker, since it may be a late one of an
+//! incarnation that has ended. And if the new incarnation has the same id, orders for the previous
+//! one may still reach it. So the node first polls it and blocks such orders there, before it
+//! reports the incarnation to the leader, which then restarts elsewhere what ran before.
 
 use crate::{
     node::calls::{Action, Announcement, CallResult},
     prelude::*,
 };
 
-/// Time after which an order that got no answer is no longer carried out.
+/// Time after which an order without an answer can no longer arrive at the worker.
 pub(super) const LATE_ORDER_MAX_MS: u64 = 10_000;
 
-/// A lifetime that is not known yet.
 #[derive(Debug)]
 pub(super) struct UnconfirmedWorker {
     pub announcement: Announcement,
@@ -23,42 +22,48 @@
     next_ms: u64,
 }
 
-/// Time after its newest announcement for which a lifetime is looked at in vain: a few intervals of
-/// announcements. A late announcement would have it looked at for ever.
-const PATIENCE_MS: u64 = 5_000;
+/// Time after the newest announcement for which calls without a usable answer are repeated: a few
+/// announcement intervals. Without a limit, one late announcement would cause polls for ever.
+const CONFIRMATION_TIMEOUT_MS: u64 = 5_000;
 
 #[derive(Debug)]
 enum Stage {
-    Unheard,
-    /// It has answered. Starts meant for the lifetime before are barred, one after the other; then
-    /// a list must show that none of them runs.
-    Barring {
-        left: Vec<RunRef>,
-        barred: Vec<RunRef>,
+    NotAnswered,
+    /// The worker has answered. Starts meant for the previous incarnation are blocked one by one;
+    /// then a list must show that none of them runs.
+    Blocking {
+        remaining: Vec<RunRef>,
+        blocked: Vec<RunRef>,
     },
 }
 
-/// What an answer tells of a newcomer.
+/// The conclusion from a call of an unconfirmed worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Verdict {
-    /// Nothing yet.
+    /// No conclusion yet.
     Unclear,
-    /// It has answered for the first time.
-    Heard,
-    /// Another lifetime answers in its place, or nobody has for long.
-    Away,
-    /// Nothing that was meant for the lifetime before can begin there.
+    /// The worker has answered for the first time.
+    Answered,
+    /// Another incarnation answers in its place, or no usable answer came in time.
+    Absent,
+    /// No start meant for the previous incarnation can be carried out there.
     Ready,
 }
 
 impl UnconfirmedWorker {
     pub(super) fn new(announcement: Announcement, now: Now) -> UnconfirmedWorker {
         let (announced_ms, next_ms) = (now.mono_ms, now.mono_ms);
-        UnconfirmedWorker { announcement, announced_ms, stage: Stage::Unheard, call: None, next_ms }
+        UnconfirmedWorker {
+            announcement,
+            announced_ms,
+            stage: Stage::NotAnswered,
+            call: None,
+            next_ms,
+        }
     }
 
-    /// Takes in an announcement of the same lifetime.
-    pub(super) fn hear(&mut self, announcement: Announcement, now: Now) {
+    /// Keeps a newer announcement of the same incarnation.
+    pub(super) fn update_announcement(&mut self, announcement: Announcement, now: Now) {
         if self.announcement.sequence < announcement.sequence {
             self.announcement = announcement;
             self.announced_ms = now.mono_ms;
@@ -70,37 +75,37 @@
         self.call.is_none().then_some(self.next_ms)
     }
 
-    /// Returns whether a call is the one under way.
+    /// Returns whether `call` is the one under way.
     pub(super) fn awaits(&self, call: u64) -> bool {
         self.call == Some(call)
     }
 
-    /// Lets the next call be due, as a better token for it is known.
-    pub(super) fn look_again(&mut self, now: Now) {
+    /// Makes the next call due at once, after a newer token has arrived.
+    pub(super) fn make_call_due(&mut self, now: Now) {
         self.next_ms = now.mono_ms;
     }
 
-    /// Notes that its next call is made.
+    /// Marks `call` as under way, and returns its action.
     pub(super) fn begin_call(&mut self, call: u64) -> Action {
         self.call = Some(call);
         match &self.stage {
-            Stage::Barring { left, .. } if let Some(run) = left.last() => {
+            Stage::Blocking { remaining, .. } if let Some(run) = remaining.last() => {
                 Action::Stop { run: *run }
             }
-            // No lease, no end noted and no wait: nothing there changes by it.
+            // Without a lease or an acknowledgement, the poll changes no state of the worker.
             _ => Action::Poll { lease_until_ms: None, acked_cursor: 0, wait_ms: 0 },
         }
     }
 
-    /// Bars starts that may still reach it.
-    pub(super) fn bar(&mut self, starts: Vec<RunRef>, now: Now) {
+    /// Begins to block starts that may still reach the worker.
+    pub(super) fn block_starts(&mut self, starts: Vec<RunRef>, now: Now) {
         self.next_ms = now.mono_ms;
-        self.stage = Stage::Barring { left: starts.clone(), barred: starts };
+        self.stage = Stage::Blocking { remaining: starts.clone(), blocked: starts };
     }
 
-    /// Takes in the answer to its call; `may_share_id` tells whether another lifetime may have
-    /// given it, since it may go by the same id.
-    pub(super) fn take_answer(
+    /// Handles the result of the call under way. `may_share_id` says whether another incarnation
+    /// with the same id may have given the answer.
+    pub(super) fn handle_answer(
         &mut self,
         result: &CallResult,
         may_share_id: bool,
@@ -109,7 +114,7 @@
     ) -> Verdict {
         self.call = None;
         let verdict = match (&mut self.stage, result) {
-            (_, CallResult::OtherLifetime) => Verdict::Away,
+            (_, CallResult::OtherLifetime) => Verdict::Absent,
             (
                 _,
                 CallResult::RunList { started_unix_ms, .. }
@@ -117,33 +122,34 @@
             ) if started_unix_ms.is_some()
                 && *started_unix_ms != self.announcement.started_unix_ms =>
             {
-                Verdict::Away
+                Verdict::Absent
             }
             (
                 _,
                 CallResult::RunList { started_unix_ms, .. }
                 | CallResult::PartialRunList { started_unix_ms, .. },
             ) if *started_unix_ms != self.announcement.started_unix_ms => Verdict::Unclear,
-            (Stage::Unheard, CallResult::RunList { .. } | CallResult::PartialRunList { .. }) => {
-                Verdict::Heard
-            }
-            // A call that names another id is not answered like this.
-            (Stage::Unheard, CallResult::Refused { .. } | CallResult::Unhealthy)
+            (
+                Stage::NotAnswered,
+                CallResult::RunList { .. } | CallResult::PartialRunList { .. },
+            ) => Verdict::Answered,
+            // A worker with another id would have answered `OtherLifetime`.
+            (Stage::NotAnswered, CallResult::Refused { .. } | CallResult::Unhealthy)
                 if !may_share_id =>
             {
-                Verdict::Heard
+                Verdict::Answered
             }
-            (Stage::Barring { left, .. }, CallResult::Done { .. }) => {
-                left.pop();
+            (Stage::Blocking { remaining, .. }, CallResult::Done { .. }) => {
+                remaining.pop();
                 self.next_ms = now.mono_ms;
                 return Verdict::Unclear;
             }
-            (Stage::Barring { left, barred }, CallResult::RunList { running, .. })
-                if left.is_empty() && !running.iter().any(|it| barred.contains(&it.run)) =>
+            (Stage::Blocking { remaining, blocked }, CallResult::RunList { running, .. })
+                if remaining.is_empty() && !running.iter().any(|it| blocked.contains(&it.run)) =>
             {
                 Verdict::Ready
             }
-            _ if self.announced_ms + PATIENCE_MS <= now.mono_ms => Verdict::Away,
+            _ if self.announced_ms + CONFIRMATION_TIMEOUT_MS <= now.mono_ms => Verdict::Absent,
             _ => Verdict::Unclear,
         };
         self.next_ms = now.mono_ms + retry_ms;
--- a/src/node/worker.rs
+++ b/src/node/worker.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the worker beside it.
+//! The state that a node keeps of the worker beside it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -19,20 +19,20 @@
     pub at_ms: u64,
 }
 
-/// A look at the worker's lists.
+/// A call under way that reads the worker's run list.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingPoll {
     pub call: u64,
     pub sent_ms: u64,
-    /// Longest wait that it allows the worker.
+    /// Longest time for which the worker may hold the call open.
     pub wait_ms: u64,
     pub acked_cursor: u64,
-    /// End of the lease before this look, by the worker's clock, where it may be over. Then the
-    /// look waits for nothing, so that all that it lists ended before it.
+    /// End of the previous lease by the worker's clock, if that lease may have expired. The poll
+    /// then does not wait, so that every end in its list came before it.
     pub previous_lease_until_ms: Option<u64>,
 }
 
-/// An order on its way to the worker.
+/// An order that the worker has not confirmed yet.
 #[derive(Clone, Debug)]
 pub(super) struct PendingOrder {
     pub order: Order,
@@ -40,60 +40,58 @@
     pub call: Option<u64>,
     pub next_ms: u64,
     pub attempts: u32,
-    /// A start that got no answer may still be carried out.
+    /// Whether an earlier call got no answer, so that the worker may still carry it out.
     pub may_still_execute: bool,
 }
 
-/// What an order is for.
 #[derive(Clone, Debug)]
 pub(super) enum Order {
     Start {
         payload: CompactString,
         checkpoint: CompactString,
-        /// What the worker had when the order was made.
+        /// Capacity of the worker with which the leader planned the start.
         planned_capacity: Resources,
     },
-    /// Ends the run, or bars it from beginning; then it is refused for this cause, if any.
+    /// Ends the run, or blocks its start. A run that never started is refused for this cause.
     Stop { refused: Option<RefusalCause> },
-    /// The worker was told to stop the run; whether it ever ran shows in the next list, read by
-    /// a call numbered above `after_call`.
+    /// The worker has confirmed the stop. Whether the run ever started shows in the next list, read
+    /// by a call numbered above `after_call`.
     Blocked { cause: RefusalCause, after_call: u64 },
 }
 
-/// What a filler of an image uses.
+/// CPU usage of a filler, with its image.
 #[derive(Clone, Debug)]
 pub(super) struct ImageUsage {
     pub image: CompactString,
     pub usage: CpuUsageWindow,
 }
 
-/// One lifetime of the worker.
 #[derive(Debug)]
 pub(super) struct WorkerIncarnation {
-    /// Its own name; its id may be that of an earlier one.
+    /// Unique name; the worker id may have been used by an earlier incarnation.
     pub name: CompactString,
     pub announcement: Announcement,
-    /// The newest call before it began: answers to that one and earlier ones tell nothing of it.
+    /// The latest call before it began; answers to that call and earlier ones are not its own.
     pub last_call_before: u64,
     pub clock: ClockSample,
-    /// Last word from the worker itself.
+    /// When the worker last sent an announcement or an answer.
     pub last_contact_ms: u64,
     /// Term under which the lists were last read.
     pub listed_term: u64,
     pub running: Vec<RunningTask>,
-    /// Runs whose start was answered, with the newest call by then: a list asked for earlier may
-    /// not show them yet.
+    /// Runs whose start was confirmed, with the latest call at that time: a list that was requested
+    /// earlier may not show them yet.
     pub started_by_call: HashMap<RunRef, u64>,
     pub ended: BTreeMap<u64, RunEnd>,
     pub acked_cursor: u64,
-    /// How far the worker has surely heard that its ends are taken note of.
+    /// Highest acknowledged cursor that the worker has certainly received.
     pub acked_cursor_received: u64,
     pub noted: NotedEnds,
-    /// Highest cursor of a failure that was listed: the leader waits to hear that it is noted.
+    /// Highest cursor of a listed failure; the leader waits for the report that it is noted.
     pub failure_cursor: u64,
-    /// End of the longest lease told to the worker, by its clock, if this process told it one.
+    /// Latest lease end that this process sent to the worker, by the worker's clock, if any.
     pub sent_lease_until_ms: Option<u64>,
-    /// Token for calls, from the newest grant, and its place among the grants with this token.
+    /// Fencing token for calls, from the newest grant; `grant_sequence` orders grants of one token.
     pub token: u64,
     pub grant_sequence: u64,
     pub lease_until_ms: u64,
@@ -101,30 +99,29 @@
     pub refused: BTreeMap<RunRef, RefusalCause>,
     pub roles: HashMap<RunRef, TaskRole>,
     pub throttler: Throttler,
-    /// What fillers use, over the time that tails are read in; those that have just ended too.
+    /// CPU usage of fillers over the window of latency readings; includes recently ended fillers.
     pub filler_usages: HashMap<RunRef, ImageUsage>,
-    /// What a core of a filler takes from a serving task, by their images.
+    /// Headroom in percent that a filler's core costs a serving task, by (serving, filler) image.
     pub costs: HashMap<(CompactString, CompactString), f64>,
-    /// Share that each filler was last told, and the call that tells it.
+    /// Speed that each filler was last set to; `throttle_calls` has the calls under way.
     pub sent_speed_percents: HashMap<RunRef, u32>,
     pub throttle_calls: HashMap<u64, (RunRef, u32)>,
-    /// The look at the worker's lists that is under way.
     pub poll: Option<PendingPoll>,
     pub next_poll_ms: u64,
-    /// Lists in a row that had rows which cannot be read.
+    /// Consecutive lists with unreadable rows.
     pub incomplete_lists: u32,
-    /// When nobody was found at the worker's address first, with nothing heard since.
+    /// Time of the first refused connection since the last contact.
     pub missing_since_ms: Option<u64>,
-    /// Starts of which a call got no answer, with when that was found: a copy may be on its way.
+    /// Starts with a call that timed out, and when it did: a copy may still be in transit.
     pub unanswered_starts: BTreeMap<RunRef, u64>,
-    /// A look at it failed, or this process stood still, and none has succeeded since: another
-    /// lifetime may be there.
+    /// A poll failed or this process paused, and no poll has succeeded since: another incarnation
+    /// may have taken the address.
     pub may_be_replaced: bool,
-    /// When this process was found to have stood still: what was asked before tells who was there.
+    /// When a pause of this process was detected; polls sent earlier no longer prove anything.
     pub pause_detected_ms: u64,
-    /// When it last listed what it runs.
+    /// Time of the last fresh run list.
     pub listed_ms: u64,
-    /// Another lifetime answers in its place: what is sent to its id would reach that one.
+    /// Another incarnation answers under its id, and would receive the calls that are sent to it.
     pub is_displaced: bool,
     pub is_gone: bool,
 }
@@ -175,13 +172,11 @@
         }
     }
 
-    /// Returns whether calls of it may be made.
     pub(super) fn is_callable(&self) -> bool {
         0 < self.token && !self.is_gone && !self.is_displaced
     }
 
-    /// Returns whether an answer was given by another lifetime.
-    pub(super) fn is_anothers(&self, result: &CallResult) -> bool {
+    pub(super) fn is_from_other_incarnation(&self, result: &CallResult) -> bool {
         match result {
             CallResult::OtherLifetime => true,
             CallResult::RunList { started_unix_ms, .. }
@@ -192,7 +187,7 @@
         }
     }
 
-    /// Returns the starts that may yet be carried out by whoever goes by its id: those without an
+    /// Returns the starts that any incarnation with this id may still carry out: those without an
     /// answer, and those whose answer no list has confirmed.
     pub(super) fn doubtful_starts(&self, now: Now) -> Vec<RunRef> {
         let is_doubtful = |it: &PendingOrder| match it.order {
@@ -201,33 +196,34 @@
             Order::Blocked { .. } => true,
         };
         let pending = self.orders.iter().filter(|(_, it)| is_doubtful(it)).map(|(run, _)| *run);
-        let may_come = |found_ms: &u64| now.mono_ms < found_ms + LATE_ORDER_MAX_MS;
-        let unanswered = self.unanswered_starts.iter().filter(|(_, it)| may_come(it));
+        let may_still_arrive = |noticed_ms: &u64| now.mono_ms < noticed_ms + LATE_ORDER_MAX_MS;
+        let unanswered = self.unanswered_starts.iter().filter(|(_, it)| may_still_arrive(it));
         let runs = pending
             .chain(unanswered.map(|(run, _)| *run))
             .chain(self.started_by_call.keys().copied());
         runs.collect::<BTreeSet<_>>().into_iter().collect()
     }
 
-    /// Takes in a word from the worker.
-    pub(super) fn hear(&mut self, clock_ms: u64, now: Now) {
+    /// Notes an announcement or answer of the worker, with its clock.
+    pub(super) fn note_contact(&mut self, clock_ms: u64, now: Now) {
         self.clock = ClockSample { clock_ms, at_ms: now.mono_ms };
         self.last_contact_ms = now.mono_ms;
         self.missing_since_ms = None;
     }
 
-    /// Returns the end of the lease by the worker's clock, or nothing when it is over.
+    /// Returns the end of the lease by the worker's clock, or `None` once the lease has ended.
     ///
-    /// The reading was made before it arrived, so this is never later than the lease.
+    /// The clock was read before the reading arrived, so the result is never later than the lease.
     pub(super) fn lease_by_worker_ms(&self, now: Now) -> Option<u64> {
-        let valid = now.mono_ms < self.lease_until_ms;
-        valid.then(|| self.clock.clock_ms + (self.lease_until_ms - self.clock.at_ms))
+        let is_valid = now.mono_ms < self.lease_until_ms;
+        is_valid.then(|| self.clock.clock_ms + (self.lease_until_ms - self.clock.at_ms))
     }
 
-    /// Notes a grant by its token and sequence; returns whether it is the newest.
+    /// Notes a grant by its token and sequence. Returns whether it is the newest.
     ///
-    /// Grants that went over a connection which is given up may come after newer ones. Their orders
-    /// are of an enrolment, or of a moment, that the leader has concluded: tasks ran in two places.
+    /// Grants sent over an abandoned connection may arrive after newer ones. Their orders belong to
+    /// a registration or a state that the leader has left behind; applying them ran tasks in two
+    /// places.
     pub(super) fn note_grant(&mut self, token: u64, sequence: u64) -> bool {
         let is_newest = (self.token, self.grant_sequence) < (token, sequence);
         if is_newest {
@@ -236,60 +232,61 @@
         is_newest
     }
 
-    /// Returns whether the worker's lease may have run out: its clock may be slower than this one,
-    /// never faster by more than a reading takes.
+    /// Returns whether the worker's lease may have expired. The worker's clock may be slower than
+    /// this one, and is faster by no more than the time that a reading takes.
     pub(super) fn may_have_lapsed(&self, now: Now) -> bool {
-        let most_clock_ms = self.clock.clock_ms + (now.mono_ms - self.clock.at_ms);
-        self.sent_lease_until_ms.is_some_and(|it| it < most_clock_ms)
+        let max_clock_ms = self.clock.clock_ms + (now.mono_ms - self.clock.at_ms);
+        self.sent_lease_until_ms.is_some_and(|it| it < max_clock_ms)
     }
 
-    /// Takes in what a list tells of ends that were taken note of; returns whether the leader waits
-    /// for that.
+    /// Updates which ends the worker knows to be acknowledged, by the list that a poll returned.
+    /// Returns whether the leader waits for this update.
     ///
-    /// Where the lease ran out since the last list, what ended before was never taken note of: the
-    /// acknowledgement came too late.
-    pub(super) fn take_noted(
+    /// If the lease expired since the last list, the ends before that count as never noted, since
+    /// their acknowledgement came too late.
+    pub(super) fn update_noted_ends(
         &mut self,
         poll: PendingPoll,
         clock_ms: u64,
         ended: &[EndedRun],
         now: Now,
     ) -> bool {
-        let before = self.noted;
-        // Its clock as the look reached it: after it was sent, and before the answer was read.
-        let least_clock_ms = clock_ms.saturating_sub(now.mono_ms - poll.sent_ms);
-        let is_over = poll.previous_lease_until_ms.is_some_and(|it| it < least_clock_ms);
-        let lapses = |it: &EndedRun| {
+        let noted_before = self.noted;
+        // Lower bound of the worker's clock at the arrival of the poll, which was after `sent_ms`.
+        let min_clock_ms = clock_ms.saturating_sub(now.mono_ms - poll.sent_ms);
+        let lease_ended = poll.previous_lease_until_ms.is_some_and(|it| it < min_clock_ms);
+        let is_new_lapse = |it: &EndedRun| {
             it.end.outcome == RunOutcome::Lapsed && !self.ended.contains_key(&it.cursor)
         };
-        let before_lapse = ended.iter().filter(|it| is_over || lapses(it)).map(|it| it.cursor);
-        let acked_late = is_over.then_some(poll.acked_cursor);
-        let lapsed_cursor = before_lapse.max().max(acked_late);
-        if let Some(it) = lapsed_cursor.filter(|it| before.noted_cursor < *it) {
-            self.noted.lapsed_after_cursor = before.noted_cursor;
+        let lapsed_cursors =
+            ended.iter().filter(|it| lease_ended || is_new_lapse(it)).map(|it| it.cursor);
+        let late_acked_cursor = lease_ended.then_some(poll.acked_cursor);
+        let lapsed_cursor = lapsed_cursors.max().max(late_acked_cursor);
+        if let Some(it) = lapsed_cursor.filter(|it| noted_before.noted_cursor < *it) {
+            self.noted.lapsed_after_cursor = noted_before.noted_cursor;
             self.noted.lapsed_cursor = it;
         }
-        self.noted.noted_cursor = before.noted_cursor.max(poll.acked_cursor);
+        self.noted.noted_cursor = noted_before.noted_cursor.max(poll.acked_cursor);
         let failures = ended.iter().filter(|it| it.end.outcome == RunOutcome::Failed);
         self.failure_cursor =
             failures.map(|it| it.cursor).max().unwrap_or(0).max(self.failure_cursor);
-        before != self.noted && before.noted_cursor < self.failure_cursor
+        noted_before != self.noted && noted_before.noted_cursor < self.failure_cursor
     }
 
-    /// Returns whether a list is wanted at once, since the leader waits to hear that a failure is
-    /// taken note of.
+    /// Returns whether the next poll must not wait, because the leader waits for the report that a
+    /// failure is noted.
     pub(super) fn has_failure_to_note(&self) -> bool {
         self.noted.noted_cursor < self.failure_cursor.min(self.acked_cursor)
     }
 
-    /// Returns whether a run is listed, as running or ended.
-    pub(super) fn knows(&self, run: RunRef) -> bool {
+    /// Returns whether a run is listed as running or ended.
+    pub(super) fn lists_run(&self, run: RunRef) -> bool {
         self.running.iter().any(|it| it.run == run) || self.ended.values().any(|it| it.run == run)
     }
 
-    /// Takes in a list that the worker gave to a call; what began after that call was made is kept,
-    /// though the list may not show it yet.
-    pub(super) fn take_list(&mut self, mut listed: Vec<RunningTask>, call: u64) {
+    /// Applies the run list that the worker returned for `call`. Runs that started after that call
+    /// was made are kept, since the list may not show them yet.
+    pub(super) fn apply_run_list(&mut self, mut listed: Vec<RunningTask>, call: u64) {
         self.started_by_call.retain(|_, after_call| call <= *after_call);
         let is_new = |it: &RunningTask| {
             self.started_by_call.contains_key(&it.run)
@@ -301,8 +298,9 @@
         self.running = listed;
     }
 
-    /// Takes in a list with rows that cannot be read: what it does not show may run all the same.
-    pub(super) fn take_part_of_list(&mut self, mut listed: Vec<RunningTask>) {
+    /// Applies a list with unreadable rows. Runs that it does not show are kept, since they may
+    /// still run.
+    pub(super) fn apply_partial_run_list(&mut self, mut listed: Vec<RunningTask>) {
         let is_missing = |it: &RunningTask| {
             !listed.iter().any(|other| other.run == it.run)
                 && !self.ended.values().any(|other| other.run == it.run)
@@ -312,28 +310,28 @@
         self.running = listed;
     }
 
-    /// Returns a running task as the leader is told of it, with what a filler uses on the whole.
-    fn reported(&self, it: &RunningTask) -> RunningTask {
-        let used = self.filler_usages.get(&it.run);
-        let load = used.map_or(it.load, |it| (it.usage.cores * 1_000.0) as u32);
-        RunningTask { load, ..it.clone() }
+    /// Returns a running task as reported to the leader: for a filler, with its windowed CPU usage.
+    fn reported_task(&self, task: &RunningTask) -> RunningTask {
+        let image_usage = self.filler_usages.get(&task.run);
+        let load = image_usage.map_or(task.load, |it| (it.usage.cores * 1_000.0) as u32);
+        RunningTask { load, ..task.clone() }
     }
 
     pub(super) fn report(&self) -> WorkerReport {
-        let it = &self.announcement;
+        let announcement = &self.announcement;
         let roles_missing = self.running.iter().any(|it| !self.roles.contains_key(&it.run));
         WorkerReport {
             name: self.name.clone(),
-            service: it.service.clone(),
-            zone: it.zone.clone(),
-            kind: it.kind.clone(),
-            rack: it.rack.clone(),
-            capacity: it.capacity,
-            draining: it.draining,
-            remaining_ms: it.remaining_ms,
+            service: announcement.service.clone(),
+            zone: announcement.zone.clone(),
+            kind: announcement.kind.clone(),
+            rack: announcement.rack.clone(),
+            capacity: announcement.capacity,
+            draining: announcement.draining,
+            remaining_ms: announcement.remaining_ms,
             gone: self.is_gone,
             term: self.listed_term,
-            running: self.running.iter().map(|it| self.reported(it)).collect(),
+            running: self.running.iter().map(|it| self.reported_task(it)).collect(),
             ended: self
                 .ended
                 .iter()
@@ -346,7 +344,7 @@
                 .collect(),
             roles_missing,
             noted: self.noted,
-            faded: self.faded(),
+            faded: self.ended_filler_uses(),
         }
     }
 }
