--- a/src/control/client.rs
+++ b/src/control/client.rs
@@ -1,7 +1,7 @@
-//! The client of control that every role holds.
+//! The control client that every role uses.
 //!
-//! It finds the leader, follows its hints, and repeats an operation under the same id until it
-//! is answered or its time is up. Every operation is made so that a repetition does no harm.
+//! The client finds the leader, follows redirects, and resends an operation under the same id until
+//! the operation is answered or its deadline passes. All operations are idempotent.
 
 use std::{collections::HashMap, net::SocketAddr};
 
@@ -10,10 +10,10 @@
     prelude::*,
 };
 
-/// Time after which an operation without an answer is sent to the next control process.
+/// Time after which an unanswered operation is resent to the next control process.
 const RESEND_MS: u64 = 400;
 
-/// Pause after an answer that names no leader, as while one is elected.
+/// Pause after an answer that names no leader, for example during an election.
 const ELECTION_PAUSE_MS: u64 = 60;
 
 #[derive(Clone, Debug)]
@@ -21,10 +21,10 @@
     operation: Operation,
     token: T,
     deadline_ms: u64,
-    next_ms: u64,
+    next_send_ms: u64,
 }
 
-/// Operations under way, each with the caller's token `T`.
+/// Sends operations to the leader; `T` is the caller's token for an operation.
 #[derive(Clone, Debug)]
 pub struct ControlClient<T> {
     reply_to: SocketAddr,
@@ -35,8 +35,8 @@
 }
 
 impl<T: Clone> ControlClient<T> {
-    /// Makes a client that is answered at `reply_to`; `boot` makes its ids differ from those of
-    /// an earlier run.
+    /// Makes a client that receives replies at `reply_to`. The random number `boot` makes its ids
+    /// differ from those of an earlier run of the process.
     pub fn new(reply_to: SocketAddr, controls: Vec<SocketAddr>, boot: u64) -> ControlClient<T> {
         ControlClient {
             reply_to,
@@ -47,40 +47,38 @@
         }
     }
 
-    /// Returns the process that is thought to lead, or the next one to try.
+    /// Returns the presumed leader, or the next process to try.
     pub fn target(&self) -> Option<SocketAddr> {
         self.leader_finder.target()
     }
 
-    /// Learns who leads.
+    /// Sets the presumed leader; with `None` the next process is tried.
     pub fn set_leader(&mut self, leader: Option<SocketAddr>) {
         self.leader_finder.set_leader(leader);
     }
 
-    /// Turns to the next control process, since the current one is silent or does not lead.
+    /// Switches to the next control process, because the current one is silent or does not lead.
     pub fn try_next(&mut self) {
         self.leader_finder.try_next();
     }
 
-    /// Returns the operations under way.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Returns whether no operation is under way.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Starts an operation.
+    /// Sends an operation, which ends at `deadline_ms` if it has no answer by then.
     pub fn call(&mut self, now: Now, operation: Operation, deadline_ms: u64, token: T) {
         self.next_id = self.next_id.wrapping_add(1);
         let id = self.next_id;
-        self.calls.insert(id, Call { operation, token, deadline_ms, next_ms: now.mono_ms });
+        self.calls.insert(id, Call { operation, token, deadline_ms, next_send_ms: now.mono_ms });
         self.send(now, id);
     }
 
-    /// Takes in an answer; returns the token and the outcome if it ends an operation.
+    /// Handles a reply; returns the token and the outcome if the reply ends an operation.
     pub fn on_reply(&mut self, now: Now, reply: ControlReply) -> Option<(T, ReplyResult)> {
         let call = self.calls.get_mut(&reply.id)?;
         match reply.result {
@@ -88,32 +86,32 @@
             ControlResult::Refused(it) => Some((self.calls.remove(&reply.id)?.token, Err(it))),
             ControlResult::NotLeader(hint) => {
                 let pause_ms = if hint.is_some() { 1 } else { ELECTION_PAUSE_MS };
-                call.next_ms = now.mono_ms + pause_ms;
+                call.next_send_ms = now.mono_ms + pause_ms;
                 self.set_leader(hint);
                 None
             }
         }
     }
 
-    /// Repeats what is due, and returns the operations whose time is up.
+    /// Resends unanswered operations that are due, and returns those whose deadline has passed.
     pub fn tick(&mut self, now: Now) -> Vec<(T, ReplyResult)> {
-        let mut ended: Vec<_> = self
+        let mut expired: Vec<_> = self
             .calls
             .iter()
             .filter(|(_, it)| it.deadline_ms <= now.mono_ms)
             .map(|(id, _)| *id)
             .collect();
-        ended.sort_unstable();
+        expired.sort_unstable();
         let mut due: Vec<_> = self
             .calls
             .iter()
-            .filter(|(_, it)| it.next_ms <= now.mono_ms)
+            .filter(|(_, it)| it.next_send_ms <= now.mono_ms)
             .map(|(id, _)| *id)
             .collect();
         due.sort_unstable();
-        due.retain(|it| !ended.contains(it));
+        due.retain(|it| !expired.contains(it));
         if !due.is_empty() && self.leader_finder.leader().is_some() {
-            // The leader owed an answer to one of these.
+            // The leader did not answer at least one of the due operations in time.
             self.try_next();
         }
         for id in due {
@@ -126,18 +124,17 @@
                 1_000,
             )
         };
-        ended
+        expired
             .into_iter()
             .filter_map(|id| Some((self.calls.remove(&id)?.token, Err(unavailable()))))
             .collect()
     }
 
-    /// Returns when [`ControlClient::tick`] has something to do.
+    /// Returns when [`ControlClient::tick`] is next due; `None` if no operation is under way.
     pub fn next_tick_ms(&self) -> Option<u64> {
-        self.calls.values().map(|it| it.next_ms.min(it.deadline_ms)).min()
+        self.calls.values().map(|it| it.next_send_ms.min(it.deadline_ms)).min()
     }
 
-    /// Takes the messages to send.
     pub fn take_messages(&mut self) -> Vec<(SocketAddr, Message)> {
         std::mem::take(&mut self.outbox)
     }
@@ -145,7 +142,7 @@
     fn send(&mut self, now: Now, id: u64) {
         let Some(to) = self.target() else { return };
         let Some(call) = self.calls.get_mut(&id) else { return };
-        call.next_ms = now.mono_ms + RESEND_MS;
+        call.next_send_ms = now.mono_ms + RESEND_MS;
         let request =
             ControlRequest { id, reply_to: self.reply_to, operation: call.operation.clone() };
         self.outbox.push((to, Message::ControlRequest(request)));
--- a/src/control/core/event_logging.rs
+++ b/src/control/core/event_logging.rs
@@ -1,17 +1,17 @@
-//! The lines that the leader writes of changes of the workflows that were applied.
+//! Log events that the leader writes for applied workflow commands.
 
 use crate::{
     control::{dispatch::run_name, state::State},
     prelude::*,
 };
 
-/// Returns for each end of a change whether the ledger still holds its run on that worker.
-pub(super) fn expected(state: &State, command: &WorkflowCommand) -> Vec<bool> {
+/// Returns for each run end in `command` whether the state still has the run on that worker.
+pub(super) fn expected_ends(state: &State, command: &WorkflowCommand) -> Vec<bool> {
     let WorkflowCommand::Finish(it) = command else { return Vec::new() };
     it.ends.iter().map(|end| state.workflows.has_run(it.worker, end.run)).collect()
 }
 
-/// Writes the lines of a change: one for what a client or operator asked for, one for each run.
+/// Logs an applied command: one event for a request of a client or operator, one for each run.
 pub(super) fn log_applied(
     state: &State,
     command: &WorkflowCommand,
@@ -78,35 +78,35 @@
     }
 }
 
-/// Suspected tasks named after a crash: those that most likely caused it.
-const SUSPECTS_NAMED_MAX: usize = 4;
+/// Highest number of suspected tasks logged after a crash; the likeliest causes are logged.
+const SUSPECTS_LOGGED_MAX: usize = 4;
 
-/// Writes what a crash is held against, and which workflows were given up for it.
+/// Logs the tasks suspected of a crash, and the workflows given up because of it.
 fn log_suspects(state: &State, it: &FinishRuns, entry: &LogEntry) {
     let (index, term) = (entry.index, entry.term);
     let suspects = state.workflows.suspects();
-    let mut held: Vec<_> =
+    let mut suspected: Vec<_> =
         it.ends.iter().filter_map(|end| Some((suspects.get(end.run.task)?, end))).collect();
-    held.sort_by(|a, b| b.0.likelihood_ratio.total_cmp(&a.0.likelihood_ratio));
-    for (evidence, end) in held.into_iter().take(SUSPECTS_NAMED_MAX) {
+    suspected.sort_by(|a, b| b.0.likelihood_ratio.total_cmp(&a.0.likelihood_ratio));
+    for (evidence, end) in suspected.into_iter().take(SUSPECTS_LOGGED_MAX) {
         tracing::info!(event = "task_suspected", run = %run_name(end.run), losses = evidence.crashes_in_row, odds = evidence.likelihood_ratio as u64, outcome = ?end.outcome, index, term);
     }
-    let is_lost = |end: &&RunEnd| {
-        let outcomes = [RunOutcome::Crashed, RunOutcome::CrashedUnseen, RunOutcome::Lapsed];
-        outcomes.contains(&end.outcome)
+    let is_given_up = |end: &&RunEnd| {
+        let crash_outcomes = [RunOutcome::Crashed, RunOutcome::CrashedUnseen, RunOutcome::Lapsed];
+        crash_outcomes.contains(&end.outcome)
             && state.workflows.get(end.run.task.workflow).is_some_and(|it| {
                 it.phase() == WorkflowPhase::Failed && it.ended_ms == entry.time_ms
             })
     };
-    for end in it.ends.iter().filter(is_lost) {
+    for end in it.ends.iter().filter(is_given_up) {
         tracing::warn!(event = "workflow_given_up", run = %run_name(end.run), worker = it.worker.0, cause = "crashes_workers", index, term);
     }
 }
 
-/// Writes how a run ended.
+/// Logs how a run ended.
 ///
-/// An end that was not expected is that of a run which the ledger had already concluded, as after
-/// its worker fell silent.
+/// An end is unexpected if the state had already ended the run, for example because its worker
+/// stopped responding.
 fn log_end(state: &State, it: &FinishRuns, end: &RunEnd, expected: bool, entry: &LogEntry) {
     let workflow = state.workflows.get(end.run.task.workflow);
     let phase = workflow.map(|it| it.phase());
@@ -114,7 +114,7 @@
     tracing::info!(event = "run_ended", run = %run_name(end.run), worker = it.worker.0, outcome = ?end.outcome, expected, cursor = it.cursor, phase = ?phase, age_ms = ?age_ms, index = entry.index, term = entry.term);
 }
 
-/// Writes that a failure counts as an attempt, and whether its workflow has failed by it.
+/// Logs that a failure counts as an attempt, and whether it made the workflow fail.
 fn log_failure(state: &State, run: RunRef, entry: &LogEntry) {
     let workflow = state.workflows.get(run.task.workflow);
     let failures = workflow.and_then(|it| Some(it.task(run.task)?.failures));
--- a/src/control/core/membership_manager.rs
+++ b/src/control/core/membership_manager.rs
@@ -1,10 +1,10 @@
-//! A group that keeps its membership by itself.
+//! Automatic membership changes of a control group.
 //!
-//! A process that finds itself in no membership asks to join. The leader takes it in as a
-//! learner, and makes it a voter once it has caught up and a voter is missing: one was removed,
-//! or has been silent while the newcomer waits. A disk that was lost comes back under a new
-//! identity, so the old one at its address is removed first. No voter is ever removed without a
-//! process that can take its place, and never more than one change is under way.
+//! A process that is not a member requests to join. The leader adds it as a learner, and promotes
+//! it to voter once it has caught up and a voter is missing: a voter was removed, or has been
+//! silent while the learner waits. A process that lost its disk returns with a new identity, so
+//! the leader first removes the old identity at its address. A voter is removed only if a process
+//! can replace it, and only one change is under way at a time.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -13,26 +13,25 @@
     prelude::*,
 };
 
-/// Interval at which the leader looks after the membership, and an outsider asks to join.
-const INTERVAL_MS: u64 = 200;
+/// Interval at which the leader checks the membership, and a non-member requests to join.
+const CHECK_INTERVAL_MS: u64 = 200;
 
-/// Silence after which a voter's place goes to a learner that has caught up. Four times the
-/// silence that elects a new leader: what comes back within it costs no change of membership.
+/// Silence after which a learner that has caught up replaces a voter. Four times the silence that
+/// starts an election, so that a voter back within it causes no membership change.
 const VOTER_SILENT_MS: u64 = 2_000;
 
-/// Silence after which a learner is forgotten; it asks again if it lives.
+/// Silence after which a learner is removed; a live one requests to join again.
 const LEARNER_SILENT_MS: u64 = 4_000;
 
-/// Time for which a request to join counts.
-const JOIN_VALID_MS: u64 = 1_000;
+const JOIN_REQUEST_VALID_MS: u64 = 1_000;
 
-/// What is known of processes that want to join.
 #[derive(Debug, Default)]
 pub(super) struct MembershipManager {
-    joining: BTreeMap<MemberId, (Member, u64)>,
+    /// Requests to join, with their time of arrival.
+    join_requests: BTreeMap<MemberId, (Member, u64)>,
     tick_at_ms: u64,
-    /// When this member last heard a leader, or began to wait for one.
-    led_ms: Option<u64>,
+    /// When this member began to wait for a leader; `None` while one is known.
+    leaderless_since_ms: Option<u64>,
 }
 
 impl ControlCore {
@@ -46,9 +45,9 @@
 
     pub(super) fn on_join(&mut self, now: Now, it: Member) {
         if self.raft.is_leader() {
-            self.membership_manager.joining.insert(it.id, (it, now.mono_ms));
+            self.membership_manager.join_requests.insert(it.id, (it, now.mono_ms));
         } else if let Some(to) = self.leader_address() {
-            // Whoever joins may know none but this member.
+            // The joining process may know only this member.
             self.effects.push(Effect::Send { to, message: Message::Join(it) });
         }
     }
@@ -58,40 +57,40 @@
         {
             return;
         }
-        self.membership_manager.tick_at_ms = now.mono_ms + INTERVAL_MS;
+        self.membership_manager.tick_at_ms = now.mono_ms + CHECK_INTERVAL_MS;
         if self.raft.is_leader() {
-            self.membership_manager.led_ms = None;
-            self.keep_members(now);
+            self.membership_manager.leaderless_since_ms = None;
+            self.update_members(now);
         } else {
-            self.ask_to_join(now);
+            self.request_join(now);
         }
     }
 
-    /// Asks to join when no leader is heard: this member may have been removed while it was away.
-    fn ask_to_join(&mut self, now: Now) {
+    /// Requests to join if no leader is known: this member may have been removed meanwhile.
+    fn request_join(&mut self, now: Now) {
         if self.raft.leader().is_some() {
-            self.membership_manager.led_ms = None;
+            self.membership_manager.leaderless_since_ms = None;
             return;
         }
-        let since_ms = *self.membership_manager.led_ms.get_or_insert(now.mono_ms);
-        let own = self.raft.id();
-        let is_voter = self.raft.members().voters.iter().any(|it| it.id == own);
+        let since_ms = *self.membership_manager.leaderless_since_ms.get_or_insert(now.mono_ms);
+        let own_id = self.raft.id();
+        let is_voter = self.raft.members().voters.iter().any(|it| it.id == own_id);
         if is_voter && now.mono_ms < since_ms + VOTER_SILENT_MS {
             return;
         }
-        let own = Member { id: own, address: self.options.address };
-        let known = self.member_addresses();
-        let to: std::collections::BTreeSet<SocketAddr> =
-            self.options.control_addresses.iter().chain(&known).copied().collect();
-        for to in to.into_iter().filter(|it| *it != own.address) {
+        let own = Member { id: own_id, address: self.options.address };
+        let member_addresses = self.member_addresses();
+        let recipients: std::collections::BTreeSet<SocketAddr> =
+            self.options.control_addresses.iter().chain(&member_addresses).copied().collect();
+        for to in recipients.into_iter().filter(|it| *it != own.address) {
             self.effects.push(Effect::Send { to, message: Message::Join(own.clone()) });
         }
     }
 
-    fn keep_members(&mut self, now: Now) {
+    fn update_members(&mut self, now: Now) {
         self.membership_manager
-            .joining
-            .retain(|_, (_, at_ms)| now.mono_ms < *at_ms + JOIN_VALID_MS);
+            .join_requests
+            .retain(|_, (_, at_ms)| now.mono_ms < *at_ms + JOIN_REQUEST_VALID_MS);
         let Some((change, cause)) = self.next_change(now) else { return };
         let outcome = self.raft.change_members(now, change.clone());
         match outcome {
@@ -104,17 +103,17 @@
         }
     }
 
-    /// Returns the next change that the membership needs, and why.
+    /// Returns the next membership change that is needed, and its cause.
     fn next_change(&self, now: Now) -> Option<(MemberChange, &'static str)> {
         let members = self.raft.members();
         let silence_ms = |id| self.raft.progress_of(id, now).map_or(u64::MAX, |(_, it, _)| it);
-        let all = || members.voters.iter().chain(&members.learners);
-        for (joiner, _) in self.membership_manager.joining.values() {
-            if all().any(|it| it.id == joiner.id) {
+        let all_members = || members.voters.iter().chain(&members.learners);
+        for (joiner, _) in self.membership_manager.join_requests.values() {
+            if all_members().any(|it| it.id == joiner.id) {
                 continue;
             }
-            // The process at that address no longer has the disk of the earlier identity.
-            if let Some(old) = all().find(|it| it.address == joiner.address) {
+            // The process at this address has lost the disk with its earlier identity.
+            if let Some(old) = all_members().find(|it| it.address == joiner.address) {
                 return Some((MemberChange::Remove(old.id), "disk_lost"));
             }
             return Some((MemberChange::Add(joiner.clone()), "asked_to_join"));
@@ -122,17 +121,18 @@
         if let Some(it) = members.learners.iter().find(|it| LEARNER_SILENT_MS < silence_ms(it.id)) {
             return Some((MemberChange::Remove(it.id), "learner_silent"));
         }
-        let learner = members.learners.iter().find(|it| self.has_copy(it.id, now))?;
+        let learner = members.learners.iter().find(|it| self.is_promotable(it.id, now))?;
         if members.voters.len() < self.options.target_voter_count {
             return Some((MemberChange::Promote(learner.id), "voter_missing"));
         }
         let is_silent = |it: &&Member| VOTER_SILENT_MS < silence_ms(it.id);
-        let silent = members.voters.iter().filter(|it| it.id != self.raft.id()).find(is_silent)?;
-        Some((MemberChange::Remove(silent.id), "voter_silent"))
+        let silent_voter =
+            members.voters.iter().filter(|it| it.id != self.raft.id()).find(is_silent)?;
+        Some((MemberChange::Remove(silent_voter.id), "voter_silent"))
     }
 
-    /// Returns whether a learner holds everything committed and answers.
-    fn has_copy(&self, id: MemberId, now: Now) -> bool {
+    /// Returns whether a learner has every committed entry and still responds.
+    fn is_promotable(&self, id: MemberId, now: Now) -> bool {
         let progress = self.raft.progress_of(id, now);
         progress.is_some_and(|(matched, silent_ms, _)| {
             self.raft.commit_index() <= matched && silent_ms < VOTER_SILENT_MS / 2
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -1,4 +1,4 @@
-//! One member of a control group, without its I/O.
+//! The state machine of one control-group member; it does no I/O.
 
 mod event_logging;
 mod membership_manager;
@@ -28,43 +28,42 @@
     util::Place,
 };
 
-/// How often the leader looks for expired leases and makes plans.
+/// Interval at which the leader checks for expired leases and makes plans.
 const LEADER_TICK_MS: u64 = 25;
 
-/// How often what was kept long enough is forgotten.
-const EXPIRE_MS: u64 = 30_000;
+/// Interval at which the leader removes jobs and claims whose retention time has passed.
+const EXPIRE_INTERVAL_MS: u64 = 30_000;
 
-/// Proposals under way before new ones are refused.
+/// Highest number of proposals under way; further ones are refused.
 const PROPOSALS_MAX: usize = 20_000;
 
-/// Events read from a watch at once.
+/// Highest number of events returned by one read of a watch.
 const WATCH_READ_MAX: usize = 100;
 
-/// What one member is told by its settings and identity.
 #[derive(Clone, Debug)]
 pub struct ControlOptions {
     pub group_id: Place,
     pub member: MemberId,
-    /// Where other processes reach this one.
+    /// Address at which other processes reach this one.
     pub address: SocketAddr,
     pub control_addresses: Vec<SocketAddr>,
     pub settings: ControlSettings,
-    /// Random number of this process.
+    /// Random number of this process run; seeds elections and request ids.
     pub boot: u64,
-    /// How workflows are dispatched, where this group does.
+    /// Options of the workflow dispatcher; `None` if this group dispatches no workflows.
     pub dispatch: Option<DispatchOptions>,
-    /// Voters that the group keeps by itself; 0 leaves its membership to operators.
+    /// Number of voters that the group maintains itself; 0 leaves the membership to operators.
     pub target_voter_count: usize,
 }
 
-/// What a member is told.
+/// Input of a member.
 #[derive(Clone, Debug)]
 pub enum Input {
     Message {
         from: SocketAddr,
         message: Message,
     },
-    /// An operation from this process's own edge, answered by [`Effect::Answer`].
+    /// An operation requested within this process, answered by [`Effect::Answer`].
     Operation {
         token: u64,
         operation: Operation,
@@ -74,16 +73,16 @@
         number: u64,
     },
     DiskFull(bool),
-    /// The disk refuses what is written, or takes it again.
+    /// Whether disk writes fail.
     DiskWritesRefused(bool),
-    /// Other control addresses, from changed settings.
+    /// The control addresses of changed settings.
     ControlAddresses(Vec<SocketAddr>),
     Tick,
-    /// A planned stop: leadership is handed over.
+    /// A planned stop: the member transfers its leadership.
     Stop,
 }
 
-/// What a member wants done.
+/// An action that the caller carries out for the member.
 #[derive(Clone, Debug)]
 pub enum Effect {
     Send { to: SocketAddr, message: Message },
@@ -91,7 +90,7 @@
     Answer { token: u64, outcome: ReplyResult },
 }
 
-/// Whom the answer to an operation goes to.
+/// Destination of the reply to an operation.
 #[derive(Clone, Copy, Debug)]
 enum ReplyTo {
     Link {
@@ -101,18 +100,18 @@
     Local {
         token: u64,
     },
-    /// The leader's own proposal; nobody waits.
+    /// The leader's own proposal; no reply is sent.
     NoReply,
 }
 
-/// What only a leader keeps.
+/// State that exists only while this member leads.
 pub(super) struct LeaderState {
     pub since_ms: u64,
     pub sessions: Sessions,
     pub directory: Directory,
     pub scheduler: Scheduler,
     pub dispatcher: Option<Dispatcher>,
-    /// Events proposed and not applied, so that each is proposed once.
+    /// Task events proposed and not yet applied, so that each is proposed only once.
     proposed_events: HashSet<(TaskId, u32, std::mem::Discriminant<TaskEvent>)>,
     expire_at_ms: u64,
     tick_at_ms: u64,
@@ -124,10 +123,11 @@
     pub(super) raft: Raft,
     pub(super) state: State,
     pub(super) leader_state: Option<LeaderState>,
+    /// Term and destination of replies that wait for a log entry, by its index.
     pending_replies: BTreeMap<u64, (u64, ReplyTo)>,
-    /// Where members not in the membership known here were heard from.
-    heard_from: BTreeMap<MemberId, SocketAddr>,
-    /// Workflow calls that wait for their entry: its term, and whom to answer.
+    /// Source address of the last Raft message from each member.
+    source_addresses: BTreeMap<MemberId, SocketAddr>,
+    /// Term and destination of workflow answers that wait for a log entry, by its index.
     pending_calls: BTreeMap<u64, (u64, workflows::CallReplyTo)>,
     membership_manager: membership_manager::MembershipManager,
     client: ControlClient<u64>,
@@ -137,7 +137,7 @@
 }
 
 impl ControlCore {
-    /// Makes a member from what its disk kept.
+    /// Makes a member from the state recovered from disk.
     ///
     /// # Errors
     ///
@@ -163,7 +163,7 @@
             raft,
             leader_state: None,
             pending_replies: BTreeMap::new(),
-            heard_from: BTreeMap::new(),
+            source_addresses: BTreeMap::new(),
             pending_calls: BTreeMap::new(),
             membership_manager: membership_manager::MembershipManager::default(),
             client,
@@ -175,17 +175,15 @@
         Ok(res)
     }
 
-    /// Returns the configuration revision in force here.
+    /// Returns the configuration revision that this member has applied.
     pub fn in_force(&self) -> Revision {
         self.state.configuration.revision
     }
 
-    /// Returns the state applied so far.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Returns the log.
     pub fn raft(&self) -> &Raft {
         &self.raft
     }
@@ -195,7 +193,7 @@
         self.leader_state.as_ref().map(|it| &it.scheduler)
     }
 
-    /// Returns whether this member can answer: it is up to date, and leads or knows who does.
+    /// Returns whether this member can serve requests: it is up to date and knows the leader.
     pub fn is_ready(&self) -> bool {
         self.raft.leader().is_some() && self.raft.has_caught_up()
     }
@@ -203,28 +201,28 @@
     /// Returns when the next [`Input::Tick`] is due.
     pub fn next_tick_ms(&self) -> u64 {
         let raft_ms = self.raft.next_tick_ms();
-        let leading_ms = self.leader_state.as_ref().map_or(u64::MAX, |it| it.tick_at_ms);
+        let leader_ms = self.leader_state.as_ref().map_or(u64::MAX, |it| it.tick_at_ms);
         raft_ms
-            .min(leading_ms)
+            .min(leader_ms)
             .min(self.membership_tick_ms())
             .min(self.client.next_tick_ms().unwrap_or(u64::MAX))
     }
 
-    /// Takes the effects of the inputs so far.
+    /// Takes the effects that have accumulated since the last call.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Takes in one input.
+    /// Processes one input.
     ///
     /// # Errors
     ///
-    /// Returns an error after which the member must stop: its state cannot be trusted.
+    /// Returns an error if the state cannot be encoded or decoded; the member must then stop.
     pub fn handle(&mut self, now: Now, input: Input) -> Result<()> {
         match input {
             Input::Message { from, message } => self.on_message(now, from, message),
             Input::Operation { token, operation, deadline_ms } => {
-                self.operate(now, operation, ReplyTo::Local { token }, deadline_ms)
+                self.handle_operation(now, operation, ReplyTo::Local { token }, deadline_ms)
             }
             Input::Persisted { number } => self.raft.on_persisted(now, number),
             Input::DiskFull(it) => self.disk_full = it,
@@ -236,25 +234,26 @@
         self.finish_turn(now)
     }
 
-    /// Lets a member lead whose disk takes writes: this one could not count itself for anything new.
-    fn on_disk_writes_refused(&mut self, now: Now, refuses: bool) {
-        self.disk_writes_refused = refuses;
-        if refuses {
+    /// Transfers leadership when disk writes fail: a leader without its disk cannot count itself
+    /// towards a quorum for new entries.
+    fn on_disk_writes_refused(&mut self, now: Now, are_refused: bool) {
+        self.disk_writes_refused = are_refused;
+        if are_refused {
             self.raft.transfer_leadership(now);
         }
     }
 
-    /// Replicates, applies and collects what the inputs of this turn led to.
+    /// Replicates and applies entries after an input, and collects the resulting effects.
     fn finish_turn(&mut self, now: Now) -> Result<()> {
         self.raft.flush(now);
         self.apply(now)?;
-        self.follow_leadership(now);
-        self.turn_dispatcher(now);
+        self.update_leader_state(now);
+        self.run_dispatcher(now);
         let snapshot_entries = u64::from(self.options.settings.snapshot_entries);
         if self.raft.snapshot_index() + snapshot_entries < self.state.index()
             || self.raft.needs_snapshot()
         {
-            // Encoding runs on the core's thread; docs/CAPACITY.md has what it costs.
+            // Encoding blocks the core's thread; see docs/CAPACITY.md for its cost.
             let data = self.state.to_bytes()?;
             self.raft.compact(data);
         }
@@ -273,8 +272,8 @@
     }
 
     fn address_of(&self, id: MemberId) -> Option<SocketAddr> {
-        // A learner that joins knows no membership yet, and answers whom it heard from.
-        self.raft.address_of(id).or_else(|| self.heard_from.get(&id).copied())
+        // A joining learner does not know the membership yet, so it replies to the source address.
+        self.raft.address_of(id).or_else(|| self.source_addresses.get(&id).copied())
     }
 
     fn tick(&mut self, now: Now) {
@@ -283,7 +282,7 @@
             self.answer(ReplyTo::Local { token }, outcome);
         }
         if self.raft.has_lease(now) {
-            self.lead(now);
+            self.run_leader_tasks(now);
         }
         self.tick_membership(now);
         if let Some(it) = &mut self.leader_state {
@@ -291,10 +290,10 @@
         }
     }
 
-    /// Does what a leader does by itself.
-    fn lead(&mut self, now: Now) {
+    /// Ends expired sessions, and proposes plans and expiries.
+    fn run_leader_tasks(&mut self, now: Now) {
         let Some(leader_state) = &mut self.leader_state else { return };
-        leader_state.sessions.forget_silent_entries(now);
+        leader_state.sessions.remove_silent_entries(now);
         let expired = leader_state.sessions.take_expired(now);
         let plan = leader_state.scheduler.plan(&self.state, now);
         let mut commands: Vec<Command> = expired
@@ -309,7 +308,7 @@
         if let Some(it) = &mut self.leader_state
             && it.expire_at_ms <= now.mono_ms
         {
-            it.expire_at_ms = now.mono_ms + EXPIRE_MS;
+            it.expire_at_ms = now.mono_ms + EXPIRE_INTERVAL_MS;
             let settings = &self.options.settings;
             commands.push(Command::Expire(ExpireCommand {
                 jobs_before_ms: now.wall_ms.saturating_sub(settings.job_retention_ms),
@@ -324,12 +323,12 @@
     fn on_message(&mut self, now: Now, from: SocketAddr, message: Message) {
         match message {
             Message::Raft(it) => {
-                self.heard_from.insert(it.from, from);
+                self.source_addresses.insert(it.from, from);
                 self.raft.step(now, it);
             }
             Message::ControlRequest(it) => {
                 let to = ReplyTo::Link { address: it.reply_to, id: it.id };
-                self.operate(now, it.operation, to, u64::MAX);
+                self.handle_operation(now, it.operation, to, u64::MAX);
             }
             Message::ControlReply(it) => {
                 if let Some((token, outcome)) = self.client.on_reply(now, it) {
@@ -349,20 +348,20 @@
         }
     }
 
-    /// Applies what was committed.
+    /// Applies committed entries and installed snapshots.
     fn apply(&mut self, now: Now) -> Result<()> {
         for it in self.raft.take_committed() {
             match it {
                 Committed::Snapshot(it) => {
                     self.state = State::from_bytes(&it.data)?;
-                    // Indexes beside the old state are worth nothing; a leader installs none.
+                    // The indexes refer to the replaced state. A leader installs no snapshot.
                     self.leader_state = None;
                 }
                 Committed::Entry(it) => self.apply_entry(now, &it),
             }
         }
-        let is_shown = self.raft.has_caught_up();
-        self.raft.set_in_force(if is_shown {
+        let has_caught_up = self.raft.has_caught_up();
+        self.raft.set_in_force(if has_caught_up {
             self.state.configuration.revision
         } else {
             Revision(0)
@@ -371,10 +370,10 @@
     }
 
     fn apply_entry(&mut self, now: Now, entry: &Arc<LogEntry>) {
-        let waiting = self.pending_replies.remove(&entry.index);
+        let pending_reply = self.pending_replies.remove(&entry.index);
         let EntryBody::Command(command) = &entry.body else {
             self.state.advance_to(entry.index, entry.time_ms);
-            if let Some((term, to)) = waiting
+            if let Some((term, to)) = pending_reply
                 && term == entry.term
             {
                 self.answer(to, Ok(Reply::Done));
@@ -383,7 +382,7 @@
         };
         if let Command::Workflow(it) = command {
             let outcome = self.apply_workflow(now, entry, it);
-            match waiting {
+            match pending_reply {
                 Some((term, to)) if term == entry.term => self.answer(to, reply_of(outcome)),
                 Some((_, to)) => self.answer_not_leader(to),
                 None => (),
@@ -400,17 +399,17 @@
             let orders = start_orders(&self.state, &changes, &leader_state.sessions);
             self.effects.extend(orders);
         }
-        match waiting {
+        match pending_reply {
             Some((term, to)) if term == entry.term => self.answer(to, outcome),
             Some((_, to)) => self.answer_not_leader(to),
             None => (),
         }
     }
 
-    /// Takes up and lays down what only a leader keeps.
-    fn follow_leadership(&mut self, now: Now) {
+    /// Creates the leader state when this member starts to lead, and drops it afterwards.
+    fn update_leader_state(&mut self, now: Now) {
         match (self.raft.is_leader(), self.leader_state.is_some()) {
-            // Only once everything of earlier terms is applied is the state the leader's own.
+            // The lease implies that all entries of earlier terms are applied.
             (true, false) if self.raft.has_lease(now) => {
                 let settings = &self.options.settings;
                 let scheduler = SchedulerOptions {
@@ -421,14 +420,18 @@
                 };
                 self.leader_state = Some(LeaderState {
                     since_ms: now.mono_ms,
-                    sessions: Sessions::take_over(&self.state, now, lease_with_margin_ms(settings)),
+                    sessions: Sessions::with_full_leases(
+                        &self.state,
+                        now,
+                        lease_with_margin_ms(settings),
+                    ),
                     directory: Directory::new(self.raft.term()),
                     scheduler: Scheduler::new(&self.state, scheduler),
                     dispatcher: self.options.dispatch.map(|it| {
                         Dispatcher::new(it, &self.state.workflows, self.raft.term(), now)
                     }),
                     proposed_events: HashSet::new(),
-                    expire_at_ms: now.mono_ms + EXPIRE_MS,
+                    expire_at_ms: now.mono_ms + EXPIRE_INTERVAL_MS,
                     tick_at_ms: now.mono_ms,
                 });
                 tracing::info!(
@@ -455,7 +458,7 @@
 }
 
 impl LeaderState {
-    /// Keeps sessions and learned run times in step with a command just applied.
+    /// Updates sessions, pending task events and run-time estimates after a command was applied.
     fn note_command(
         &mut self,
         state: &State,
@@ -485,10 +488,10 @@
                     it.incarnation,
                     std::mem::discriminant(&it.event),
                 ));
-                if let (TaskEvent::Completed(done), Ok(_)) = (&it.event, outcome)
+                if let (TaskEvent::Completed(completion), Ok(_)) = (&it.event, outcome)
                     && let Some(task) = state.jobs.task(it.task)
                 {
-                    self.scheduler.note_run(state, task, done.run_ms);
+                    self.scheduler.note_run(state, task, completion.run_ms);
                 }
             }
             _ => (),
@@ -501,7 +504,7 @@
     }
 }
 
-/// Returns what an operator is told of a change of zones.
+/// Returns the reply to an operator who evacuated a zone or took it back into use.
 fn reply_of(outcome: WorkflowOutcome) -> ReplyResult {
     match outcome {
         WorkflowOutcome::Stale => Err(refusal(
@@ -512,7 +515,7 @@
     }
 }
 
-/// Returns how long a lease granted now keeps its tasks from being placed anew.
+/// Returns how long the tasks of a lease granted now are not placed elsewhere.
 fn lease_with_margin_ms(settings: &ControlSettings) -> u64 {
     u64::from(settings.lease_ms) + u64::from(settings.lease_margin_ms)
 }
@@ -534,7 +537,7 @@
     }
 }
 
-/// Returns the orders for tasks just placed, which do not wait for the next heartbeat.
+/// Returns the task orders that follow from `changes`, to be sent before the next heartbeat.
 fn start_orders(state: &State, changes: &[Change], sessions: &Sessions) -> Vec<Effect> {
     let mut by_session: BTreeMap<SessionId, Vec<TaskOrder>> = BTreeMap::new();
     for it in changes {
@@ -559,11 +562,11 @@
         }
     }
     let to_effect = |(session, orders): (SessionId, Vec<TaskOrder>)| {
-        let seen = sessions.agents.get(&session).filter(|it| it.reconciled)?;
+        let agent = sessions.agents.get(&session).filter(|it| it.reconciled)?;
         let address = state.vms.by_session(session)?.session.as_ref()?.address;
         let orders = AgentHeartbeatReply {
             session,
-            number: seen.number,
+            number: agent.last_number,
             sent_ms: 0,
             lease_ms: 0,
             verdict: SessionVerdict::Renewed,
--- a/src/control/core/operations.rs
+++ b/src/control/core/operations.rs
@@ -1,4 +1,4 @@
-//! Operations that clients ask for.
+//! Operations requested by clients.
 
 use std::net::SocketAddr;
 
@@ -20,20 +20,20 @@
             .and_then(|it| self.raft.address_of(it))
     }
 
-    pub(super) fn operate(
+    pub(super) fn handle_operation(
         &mut self,
         now: Now,
         operation: Operation,
         to: ReplyTo,
         deadline_ms: u64,
     ) {
-        let ready = self.raft.has_lease(now);
+        let has_lease = self.raft.has_lease(now);
         match (to, operation) {
-            (ReplyTo::Local { token }, operation) if !ready => {
+            (ReplyTo::Local { token }, operation) if !has_lease => {
                 self.client.set_leader(self.leader_address());
                 self.client.call(now, operation, deadline_ms, token);
             }
-            (ReplyTo::Link { address, id }, _) if !ready => {
+            (ReplyTo::Link { address, id }, _) if !has_lease => {
                 let result = ControlResult::NotLeader(self.leader_address());
                 self.send_reply(address, id, result);
             }
@@ -46,7 +46,7 @@
                 Ok(index) => {
                     self.pending_replies.insert(index, (self.raft.term(), to));
                 }
-                Err(error) => self.answer_unproposed(to, error),
+                Err(error) => self.answer_propose_error(to, error),
             },
             (_, Operation::Evacuate(it)) => self.evacuate(now, it, to),
             (_, Operation::Drain(it)) => match self.state.vms.by_name(&it.vm_name) {
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Takes an availability zone out of use or back, on the ground that the operator saw.
+    /// Proposes to evacuate an availability zone or take it back into use, based on the revision
+    /// that the operator read; without one, on the current revision.
     fn evacuate(&mut self, now: Now, it: EvacuateRequest, to: ReplyTo) {
         let evacuations = self.state.workflows.evacuations();
         if let Err(ValidationError(why)) = evacuations.check(&it) {
@@ -81,7 +82,7 @@
         self.propose_for_client(now, Command::Workflow(WorkflowCommand::Evacuate(change)), to);
     }
 
-    /// Checks the limits that are settings, and proposes.
+    /// Proposes a command, or answers with a refusal if a limit of the settings is reached.
     pub(super) fn propose_for_client(&mut self, now: Now, mut command: Command, to: ReplyTo) {
         if let Command::CreateWatch(it) = &mut command {
             it.events_max = self.options.settings.watch_events_max;
@@ -94,16 +95,16 @@
 
     pub(super) fn check_limits(&self, command: &Command) -> Result<(), Refusal> {
         let settings = &self.options.settings;
-        let full = |table: &str, most: u32| {
+        let table_full = |table: &str, limit: u32| {
             Err(refusal_with_retry_after(
                 ErrorKind::TableFull,
-                format_compact!("{table} are at their most, {most}"),
+                format_compact!("{table} are at their most, {limit}"),
                 5_000,
             ))
         };
-        let frees =
+        let frees_space =
             matches!(command, Command::Cancel(_) | Command::Settle(_) | Command::DeleteWatch(_));
-        if (self.disk_full || self.disk_writes_refused) && !frees {
+        if (self.disk_full || self.disk_writes_refused) && !frees_space {
             return Err(refusal_with_retry_after(
                 ErrorKind::DiskFull,
                 "control's disk has too little free space",
@@ -111,38 +112,38 @@
             ));
         }
         if PROPOSALS_MAX <= self.pending_replies.len() {
-            return full("proposals under way", PROPOSALS_MAX as u32);
+            return table_full("proposals under way", PROPOSALS_MAX as u32);
         }
         let state = &self.state;
         match command {
             Command::Submit(_) if settings.jobs_max as usize <= state.jobs.len() => {
-                full("jobs", settings.jobs_max)
+                table_full("jobs", settings.jobs_max)
             }
             Command::Submit(it)
                 if (settings.tasks_max as usize)
                     < state.jobs.task_count() + it.spec.tasks as usize =>
             {
-                full("tasks", settings.tasks_max)
+                table_full("tasks", settings.tasks_max)
             }
             Command::Claim(it)
                 if settings.claims_max as usize <= state.claims.len()
                     && state.claims.get(&it.team, &it.key).is_none() =>
             {
-                full("claims", settings.claims_max)
+                table_full("claims", settings.claims_max)
             }
             Command::CreateWatch(_) if settings.watches_max as usize <= state.watches.len() => {
-                full("watches", settings.watches_max)
+                table_full("watches", settings.watches_max)
             }
             Command::Publish(_)
                 if settings.claims_max as usize <= state.watches.published_key_count() =>
             {
-                full("keys of published events", settings.claims_max)
+                table_full("keys of published events", settings.claims_max)
             }
             Command::OpenSession(it)
                 if settings.vms_max as usize <= state.vms.len()
                     && state.vms.by_name(&it.vm_name).is_none() =>
             {
-                full("VMs", settings.vms_max)
+                table_full("VMs", settings.vms_max)
             }
             _ => Ok(()),
         }
@@ -153,11 +154,11 @@
             Ok(index) => {
                 self.pending_replies.insert(index, (self.raft.term(), to));
             }
-            Err(error) => self.answer_unproposed(to, error),
+            Err(error) => self.answer_propose_error(to, error),
         }
     }
 
-    pub(super) fn answer_unproposed(&mut self, to: ReplyTo, error: ProposeError) {
+    pub(super) fn answer_propose_error(&mut self, to: ReplyTo, error: ProposeError) {
         let outcome = match error {
             ProposeError::MembershipBusy => Err(refusal_with_retry_after(
                 ErrorKind::MembershipUnsafe,
--- a/src/control/core/workflows.rs
+++ b/src/control/core/workflows.rs
@@ -1,4 +1,4 @@
-//! Workflows as a member of the group sees them: requests, reports and the dispatcher's turns.
+//! Workflow requests, node reports and workflow commands, passed to the dispatcher while leading.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
     prelude::*,
 };
 
-/// Whom the answer to a workflow request goes to.
+/// Destination of the answer to a workflow request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallReplyTo {
     pub address: SocketAddr,
@@ -19,7 +19,7 @@
 }
 
 impl ControlCore {
-    /// Returns where the members of the group are.
+    /// Returns the addresses of all voters and learners.
     pub(super) fn member_addresses(&self) -> Vec<SocketAddr> {
         let members = self.raft.members();
         members.voters.iter().chain(&members.learners).map(|it| it.address).collect()
@@ -34,7 +34,7 @@
             RequestDecision::Answer(outcome) => self.answer_call(to, outcome),
             RequestDecision::Propose(_) if self.disk_full || self.disk_writes_refused => {
                 tracing::warn!(event = "proposal_refused", cause = "disk_full", call = to.id);
-                self.answer_call(to, WorkflowOutcome::Busy(FULL_PAUSE_MS));
+                self.answer_call(to, WorkflowOutcome::Busy(DISK_FULL_RETRY_MS));
             }
             RequestDecision::Propose(command) => self.propose_workflow(now, command, Some(to)),
         }
@@ -54,17 +54,17 @@
         }
     }
 
-    /// Applies a change of the workflows, and answers who waits for it.
+    /// Applies a workflow command, and answers the request that waits for it.
     pub(super) fn apply_workflow(
         &mut self,
         now: Now,
         entry: &LogEntry,
         command: &WorkflowCommand,
     ) -> WorkflowOutcome {
-        // Once for the group, by the member that decides.
+        // Only the leader logs, so that each event is logged once per group.
         let is_logged = self.leader_state.is_some();
         let expected =
-            if is_logged { event_logging::expected(&self.state, command) } else { Vec::new() };
+            if is_logged { event_logging::expected_ends(&self.state, command) } else { Vec::new() };
         let outcome = self.state.apply_workflow(entry.index, entry.time_ms, command);
         if is_logged {
             event_logging::log_applied(&self.state, command, entry, &outcome, &expected);
@@ -92,8 +92,8 @@
         outcome
     }
 
-    /// Lets the dispatcher plan, and carries out what it wants.
-    pub(super) fn turn_dispatcher(&mut self, now: Now) {
+    /// Runs the dispatcher, sends its messages and proposes its commands.
+    pub(super) fn run_dispatcher(&mut self, now: Now) {
         if !self.raft.has_lease(now) {
             return;
         }
@@ -113,8 +113,8 @@
         self.raft.flush(now);
     }
 
-    /// Tells clients that wait that this member no longer leads; a new leader may still commit
-    /// what they asked for.
+    /// Answers all waiting requests with `Interrupted`, since this member no longer leads. A new
+    /// leader may still commit the requested changes.
     pub(super) fn abandon_calls(&mut self) {
         for (_, to) in std::mem::take(&mut self.pending_calls).into_values() {
             self.answer_call(to, WorkflowOutcome::Interrupted);
@@ -150,5 +150,5 @@
     }
 }
 
-/// Time after which a client may ask again while the disk is full.
-const FULL_PAUSE_MS: u64 = 2_000;
+/// Time after which a client may retry a request refused because the disk is full.
+const DISK_FULL_RETRY_MS: u64 = 2_000;
--- a/src/control/directory.rs
+++ b/src/control/directory.rs
@@ -1,7 +1,7 @@
-//! The directory of endpoints, as the leader gathers it from agents and tells it to entries.
+//! The directory of endpoints, which the leader collects from agents and sends to entries.
 //!
-//! It is not in the log: it is rebuilt within one round of heartbeats after a change of leader,
-//! and would otherwise cost a commit for every announcement.
+//! The directory is not in the log, where every announcement would cost a commit. After a change of
+//! leader it is rebuilt within one round of heartbeats.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -10,19 +10,22 @@
 
 use crate::{control::state::Vm, prelude::*};
 
-/// Removals remembered; an entry further behind is told the whole directory.
-const GONE_MAX: usize = 4_096;
+/// Highest number of removals kept; an entry further behind receives the whole directory.
+const REMOVALS_MAX: usize = 4_096;
 
 /// The directory of one leader's term.
 #[derive(Clone, Debug)]
 pub(super) struct Directory {
     epoch: u64,
     version: u64,
-    /// Ordered by session, so that a session's endpoints stand together.
+    /// Endpoints and the version that last changed each. Ordered by session, so that the endpoints
+    /// of a session are one range.
     endpoints: BTreeMap<(SessionId, u32), (DirectoryEndpoint, u64)>,
-    gone: VecDeque<(u64, EndpointId)>,
-    /// Version before which removals are forgotten.
-    gone_since: u64,
+    /// Removed endpoints with the version of the removal, oldest first.
+    removals: VecDeque<(u64, EndpointId)>,
+    /// Version of the newest dropped removal, 1 at first; entries behind it get the whole
+    /// directory.
+    dropped_removal_version: u64,
 }
 
 impl Directory {
@@ -31,8 +34,8 @@
             epoch,
             version: 1,
             endpoints: BTreeMap::new(),
-            gone: VecDeque::new(),
-            gone_since: 1,
+            removals: VecDeque::new(),
+            dropped_removal_version: 1,
         }
     }
 
@@ -40,7 +43,7 @@
         self.endpoints.values().map(|(it, _)| it)
     }
 
-    /// Sets the endpoints of a session to what its agent reports.
+    /// Replaces the endpoints of a session by those that its agent reports.
     pub(super) fn set(
         &mut self,
         session: SessionId,
@@ -72,7 +75,6 @@
         }
     }
 
-    /// Removes the endpoints of an ended session.
     pub(super) fn remove_session(&mut self, session: SessionId) {
         let ids: Vec<_> = self.of_session(session).collect();
         for it in ids {
@@ -80,20 +82,22 @@
         }
     }
 
-    /// Returns what an entry that knows `version` of `epoch` has to learn.
+    /// Returns the update for an entry that has `version` of `epoch`; `None` if that is current.
     pub(super) fn update_since(&self, epoch: u64, version: u64) -> Option<DirectoryUpdate> {
         if epoch == self.epoch && version == self.version {
             return None;
         }
-        let whole = epoch != self.epoch || version < self.gone_since;
+        let whole = epoch != self.epoch || version < self.dropped_removal_version;
         let since = if whole { 0 } else { version };
-        let newer = self.endpoints.values().filter(|(_, at)| since < *at);
-        let gone = self.gone.iter().filter(|(at, _)| !whole && since < *at);
+        let changed =
+            self.endpoints.values().filter(|(_, changed_version)| since < *changed_version);
+        let gone =
+            self.removals.iter().filter(|(removed_version, _)| !whole && since < *removed_version);
         Some(DirectoryUpdate {
             epoch: self.epoch,
             version: self.version,
             whole,
-            endpoints: newer.map(|(it, _)| it.clone()).collect(),
+            endpoints: changed.map(|(it, _)| it.clone()).collect(),
             gone: gone.map(|(_, id)| *id).collect(),
         })
     }
@@ -106,11 +110,11 @@
     fn remove(&mut self, id: EndpointId) {
         self.endpoints.remove(&key(id));
         self.version += 1;
-        self.gone.push_back((self.version, id));
-        if GONE_MAX < self.gone.len()
-            && let Some((at, _)) = self.gone.pop_front()
+        self.removals.push_back((self.version, id));
+        if REMOVALS_MAX < self.removals.len()
+            && let Some((removed_version, _)) = self.removals.pop_front()
         {
-            self.gone_since = at;
+            self.dropped_removal_version = removed_version;
         }
     }
 }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,9 +1,9 @@
 //! The control role: the replicated state of a group, and the decisions of its leader.
 //!
-//! [`ControlCore`] is one member. It holds the [`log`], applies it to the [`state`], and while
-//! it leads keeps what only a leader needs: sessions' leases, the directory of endpoints and the
-//! scheduler. It is given messages, operations, time and the word of the disk, and gives back
-//! [`Effect`]s; it does no I/O.
+//! [`ControlCore`] is one member. It keeps the [`log`] and applies it to the [`state`]. While it
+//! leads, it also keeps the leases of sessions, the directory of endpoints, the scheduler and the
+//! dispatcher. Its input is messages, operations, time and completed disk writes; its output is
+//! [`Effect`]s. It does no I/O.
 
 pub mod client;
 mod core;
--- a/src/control/reconcile.rs
+++ b/src/control/reconcile.rs
@@ -1,8 +1,8 @@
-//! What an agent reports, set against what the state says.
+//! Compares the tasks that an agent reports with the replicated state.
 //!
-//! Agents report all their tasks with every heartbeat, at about thirty bytes a task; there are
-//! no deltas to lose. Whatever differs is mended by an event for the log or by an order to the
-//! agent, and asked for again with the next heartbeat until it is so.
+//! Agents report all their tasks with every heartbeat, at about thirty bytes a task, so that no
+//! deltas can be lost. Each difference leads to an event for the log or an order to the agent,
+//! repeated with every heartbeat until the difference is gone.
 
 use std::collections::HashMap;
 
@@ -11,14 +11,15 @@
     prelude::*,
 };
 
-/// What a heartbeat calls for.
+/// Events and orders that bring the state and the agent's tasks into agreement.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Reconciled {
     pub events: Vec<TaskEventCommand>,
     pub orders: Vec<TaskOrder>,
 }
 
-/// Compares the reports of a VM's agent with the state.
+/// Compares the reports of a VM's agent with the state. Missing reports count only if the list is
+/// `complete`.
 pub(super) fn reconcile(
     state: &State,
     vm: &Vm,
@@ -37,11 +38,11 @@
             {
                 res.orders.extend(start_order(state, *id));
             }
-            // Its start was asked of an earlier run of the agent, and the worker does not have it.
+            // An earlier agent process was ordered to start the task, and the VM does not have it.
             (TaskState::Starting | TaskState::Resuming, None) if complete => {
                 res.push_event(*id, task.incarnation, TaskEvent::Stopped);
             }
-            // The agent knows nothing of a task that ran here: its worker lost it.
+            // The task ran here and the agent does not report it, so the task is lost.
             (TaskState::Running | TaskState::Checkpointing | TaskState::Stopping, None)
                 if complete =>
             {
@@ -61,7 +62,7 @@
             }
             _ => (),
         }
-        if let Some(event) = report.and_then(|it| ending_of(it)) {
+        if let Some(event) = report.and_then(|it| end_event_of(it)) {
             res.push_event(*id, task.incarnation, event);
         }
     }
@@ -70,14 +71,14 @@
         if task.is_some_and(|_| vm.tasks.contains(&it.task)) {
             continue;
         }
-        // Not this VM's any more: what has ended is forgotten, what runs is stopped.
-        let action = if ending_of(it).is_some() { TaskAction::Forget } else { TaskAction::Stop };
+        // The task is not placed here any more: the agent forgets it if it ended, or stops it.
+        let action = if end_event_of(it).is_some() { TaskAction::Forget } else { TaskAction::Stop };
         res.push_order(it.task, it.incarnation, action);
     }
     res
 }
 
-/// Returns the order to start a task where the state has placed it.
+/// Returns the order to start a placed task; `None` if the task or its job is gone.
 pub(super) fn start_order(state: &State, id: TaskId) -> Option<TaskOrder> {
     let task = state.jobs.task(id)?;
     let job = state.jobs.job_of(task)?;
@@ -102,8 +103,8 @@
     }
 }
 
-/// Returns the event that a report of an ended task stands for.
-fn ending_of(it: &TaskReport) -> Option<TaskEvent> {
+/// Returns the event for the reported end of a task; `None` while the task is live.
+fn end_event_of(it: &TaskReport) -> Option<TaskEvent> {
     match it.phase {
         TaskPhase::Completed => {
             Some(TaskEvent::Completed(Completion { result: it.detail.clone(), run_ms: it.run_ms }))
--- a/src/control/scheduler/mod.rs
+++ b/src/control/scheduler/mod.rs
@@ -1,8 +1,8 @@
-//! The leader's scheduler: indexes kept beside the state, and the plan made from them.
+//! The leader's task scheduler: indexes over the replicated state, and the plans made from them.
 //!
-//! A change of the state updates the indexes in logarithmic time, and a plan looks at a bounded
-//! number of tasks and VMs. The state checks every start once more, so a plan from indexes that
-//! are a moment old can be refused but never overfills a VM.
+//! A state change updates the indexes in logarithmic time, and a plan examines a bounded number of
+//! tasks and VMs. The state checks every start again when it applies it, so a plan made from
+//! outdated indexes can be rejected but never overcommits a VM.
 
 mod costs;
 mod mitigation;
@@ -33,19 +33,20 @@
     prelude::*,
 };
 
-/// Tasks tried in one plan.
-const TRIED_PER_PLAN: usize = 128;
+/// Waiting tasks considered in one plan.
+const CANDIDATES_PER_PLAN: usize = 128;
 
-/// VMs looked at for victims of one urgent start.
-const VICTIM_VMS: usize = 48;
+/// VMs searched for eviction victims for one urgent start.
+const VICTIM_VMS_MAX: usize = 48;
 
-/// Plans are made at least this often while tasks wait, since time alone changes their order.
-const REPLAN_MS: u64 = 500;
+/// Plans are made at least this often, since due times reorder waiting tasks without a state
+/// change.
+const REPLAN_INTERVAL_MS: u64 = 500;
 
-/// How long room freed for an urgent task is kept for it.
+/// How long capacity freed for an urgent task stays reserved for it.
 const RESERVATION_MS: u64 = 8_000;
 
-/// What the scheduler is told by settings, and what experiments switch off.
+/// Limits from the settings, and features that experiments can switch off.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SchedulerOptions {
     pub rule: RankingRule,
@@ -75,7 +76,7 @@
     }
 }
 
-/// What the scheduler wants done.
+/// Commands that the scheduler asks the leader to propose.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     pub starts: Vec<StartCommand>,
@@ -83,7 +84,7 @@
     pub vm_flags: Vec<VmFlagsCommand>,
 }
 
-/// A start proposed, or room kept for one.
+/// Capacity reserved for a proposed start, or for a start that is still to come.
 #[derive(Clone, Copy, Debug)]
 struct Reservation {
     vm: VmId,
@@ -96,39 +97,39 @@
 pub struct Scheduler {
     options: SchedulerOptions,
     queue: TaskQueue,
-    index: FreeCapacityIndex,
-    times: RunTimeEstimates,
+    free_capacity_index: FreeCapacityIndex,
+    run_times: RunTimeEstimates,
     interference_model: InterferenceModel,
     workload_history: WorkloadHistory,
     feedback_loops: HashMap<VmId, feedback::FeedbackLoop>,
-    /// Classes that answer quick requests on a VM, by its agent's last report.
+    /// Classes with endpoints on each VM, from its agent's last report.
     services: HashMap<VmId, Vec<CompactString>>,
     placed_tasks: PlacedTasks,
     urgent_reserve: UrgentReserve,
-    /// Urgent tasks not counted as arrived yet.
+    /// Resources of urgent tasks that arrived since the last update of the urgent reserve.
     urgent_arrivals: Vec<Resources>,
     reservations: BTreeMap<TaskId, Reservation>,
     reservations_by_vm: HashMap<VmId, Vec<TaskId>>,
     throttles: HashMap<TaskId, u32>,
     evicting: HashSet<TaskId>,
-    evictions: HashMap<CompactString, EvictionBudget>,
-    suspects: HashSet<VmId>,
+    eviction_budgets: HashMap<CompactString, EvictionBudget>,
+    quarantine_candidates: HashSet<VmId>,
     quarantined: BTreeSet<VmId>,
-    /// VMs being emptied, with the time since when.
+    /// Draining VMs that still have tasks, with the start of the drain; 0 before the first plan.
     draining: BTreeMap<VmId, u64>,
     victim_cursor: VmId,
     dirty: bool,
-    planned_ms: u64,
+    last_plan_ms: u64,
 }
 
 impl Scheduler {
-    /// Makes the scheduler of a new leader from the whole state.
+    /// Builds the indexes of a new leader from the whole state.
     pub fn new(state: &State, options: SchedulerOptions) -> Scheduler {
         let mut res = Scheduler {
             options,
             queue: TaskQueue::default(),
-            index: FreeCapacityIndex::default(),
-            times: RunTimeEstimates::default(),
+            free_capacity_index: FreeCapacityIndex::default(),
+            run_times: RunTimeEstimates::default(),
             interference_model: InterferenceModel::default(),
             workload_history: WorkloadHistory::default(),
             feedback_loops: HashMap::new(),
@@ -140,13 +141,13 @@
             reservations_by_vm: HashMap::new(),
             throttles: HashMap::new(),
             evicting: HashSet::new(),
-            evictions: HashMap::new(),
-            suspects: HashSet::new(),
+            eviction_budgets: HashMap::new(),
+            quarantine_candidates: HashSet::new(),
             quarantined: BTreeSet::new(),
             draining: BTreeMap::new(),
             victim_cursor: VmId(0),
             dirty: true,
-            planned_ms: 0,
+            last_plan_ms: 0,
         };
         res.note_change(state, Change::Configuration);
         for it in state.vms.iter() {
@@ -160,22 +161,21 @@
         res
     }
 
-    /// Returns the tasks that wait.
     pub fn queue(&self) -> &TaskQueue {
         &self.queue
     }
 
-    /// Returns what a neighbour's processors are to be held to, in permille.
+    /// Returns the CPU limit of a throttled task, in permille of its requested processors.
     pub fn throttle_permille(&self, task: TaskId) -> Option<u32> {
         self.throttles.get(&task).copied()
     }
 
-    /// Returns the VMs where new batch work is kept away.
+    /// Returns whether a VM accepts no new batch work because a service there misses its target.
     pub fn is_closed_to_batch(&self, vm: VmId) -> bool {
         self.feedback_loops.get(&vm).is_some_and(feedback::FeedbackLoop::is_closed_to_batch)
     }
 
-    /// Takes in a change of the state.
+    /// Updates the indexes after a state change.
     pub fn note_change(&mut self, state: &State, change: Change) {
         self.dirty = true;
         match change {
@@ -185,29 +185,29 @@
         }
     }
 
-    /// Learns how long a completed task ran.
+    /// Records the run time of a completed task for later estimates.
     pub fn note_run(&mut self, state: &State, task: &Task, run_ms: u64) {
         if let Some(job) = state.jobs.job_of(task) {
-            self.times.observe(&job.team, &job.spec.kind, job.spec.declared_run_ms, run_ms);
+            self.run_times.observe(&job.team, &job.spec.kind, job.spec.declared_run_ms, run_ms);
         }
     }
 
-    /// Makes the next plan, if there is reason to.
+    /// Makes the next plan; returns an empty one if nothing changed and the last plan is recent.
     pub fn plan(&mut self, state: &State, now: Now) -> Plan {
         let mut plan = Plan::default();
-        self.note_scenes(state, now);
-        if !self.dirty && now.mono_ms < self.planned_ms + REPLAN_MS {
+        self.record_workload_mix(state, now);
+        if !self.dirty && now.mono_ms < self.last_plan_ms + REPLAN_INTERVAL_MS {
             return plan;
         }
         self.dirty = false;
-        self.planned_ms = now.mono_ms;
+        self.last_plan_ms = now.mono_ms;
         self.queue.promote_due(now.wall_ms);
         self.release_expired_reservations(state, now);
-        self.keep_reserve(state, now);
-        self.judge_vms(state, now, &mut plan);
-        self.empty_draining(state, now, &mut plan);
-        for it in self.queue.candidates(TRIED_PER_PLAN) {
-            self.try_candidate(state, &it, now, &mut plan);
+        self.update_urgent_reserve(state, now);
+        self.update_quarantine(state, now, &mut plan);
+        self.evict_from_draining(state, now, &mut plan);
+        for it in self.queue.candidates(CANDIDATES_PER_PLAN) {
+            self.plan_candidate(state, &it, now, &mut plan);
         }
         plan
     }
@@ -272,12 +272,12 @@
         let declared_ms = job.map_or(1, |it| it.spec.declared_run_ms);
         let size_ms = match job {
             Some(it) if self.options.corrects_run_times => {
-                self.times.expected_run_ms(&it.team, &it.spec.kind, declared_ms)
+                self.run_times.expected_run_ms(&it.team, &it.spec.kind, declared_ms)
             }
             _ => declared_ms,
         };
         let accepted_ms = job.map_or(0, |it| it.accepted_ms);
-        let facts = RankingInput { size_ms, attained_ms: task.kept_run_ms, accepted_ms };
+        let ranking_input = RankingInput { size_ms, attained_ms: task.kept_run_ms, accepted_ms };
         let remaining_ms = size_ms.saturating_sub(task.kept_run_ms);
         let due_ms = class
             .filter(|it| 0 < it.finish_target_ms)
@@ -290,7 +290,7 @@
         WaitingTask {
             task: task.id,
             tier,
-            rank: task_queue::rank(self.options.rule, facts),
+            rank: task_queue::rank(self.options.rule, ranking_input),
             need,
             due_ms,
         }
@@ -311,21 +311,21 @@
         match state.vms.get(id) {
             Some(vm) if vm.session.is_some() => {
                 if self.options.vm_failures_max <= vm.failures_in_row && !vm.quarantined {
-                    self.suspects.insert(id);
+                    self.quarantine_candidates.insert(id);
                 }
             }
             _ => {
                 self.feedback_loops.remove(&id);
                 self.services.remove(&id);
                 self.workload_history.remove(id);
-                self.placed_tasks.forget(id);
+                self.placed_tasks.remove_empty_vm(id);
             }
         }
     }
 
     fn note_configuration(&mut self, state: &State) {
-        let known: Vec<_> = self.queue.teams().cloned().collect();
-        for name in known {
+        let teams: Vec<_> = self.queue.teams().cloned().collect();
+        for name in teams {
             self.queue.set_quota(&name, None);
         }
         for it in &state.configuration.teams {
@@ -333,8 +333,8 @@
         }
     }
 
-    /// Notes what runs beside each other now, on the VMs where that has changed.
-    fn note_scenes(&mut self, state: &State, now: Now) {
+    /// Records the current mix of batch work on the VMs where it has changed.
+    fn record_workload_mix(&mut self, state: &State, now: Now) {
         for id in self.placed_tasks.take_changed() {
             if let Some(vm) = state.vms.get(id).filter(|_| self.options.learns_interference) {
                 self.workload_history.record(
@@ -346,21 +346,21 @@
         }
     }
 
-    /// Brings the index in line with a VM's state and what is held there.
+    /// Updates the free-capacity index from a VM's state and its reservations.
     fn refresh_free_capacity(&mut self, state: &State, id: VmId) {
-        // A VM in quarantine is offered to probes only.
+        // Only probes start on a VM in quarantine, and they do not use the index.
         let open = state.vms.get(id).filter(|vm| is_open(state, vm));
-        let room = open.map(|vm| {
-            let held = self
+        let free_capacity = open.map(|vm| {
+            let reservations = self
                 .reservations_by_vm
                 .get(&id)
                 .into_iter()
                 .flatten()
                 .filter_map(|it| self.reservations.get(it));
-            let free = held.fold(vm.free_capacity(), |free, it| subtract(free, it.need));
+            let free = reservations.fold(vm.free_capacity(), |free, it| subtract(free, it.need));
             FreeVmCapacity { free, zone: vm.zone.clone(), rack: vm.rack.clone() }
         });
-        self.index.set(id, room);
+        self.free_capacity_index.set(id, free_capacity);
     }
 
     fn reserve(&mut self, state: &State, task: TaskId, it: Reservation) {
@@ -382,43 +382,44 @@
     }
 
     fn release_expired_reservations(&mut self, state: &State, now: Now) {
-        let old: Vec<_> = self
+        let expired: Vec<_> = self
             .reservations
             .iter()
             .filter(|(_, it)| it.until_ms <= now.mono_ms)
             .map(|(task, _)| *task)
             .collect();
-        for task in old {
+        for task in expired {
             if let Some(it) = self.release_reservation(task) {
                 self.refresh_free_capacity(state, it.vm);
             }
         }
     }
 
-    /// Puts VMs that fail whatever starts on them into quarantine, and probes those that are.
-    fn judge_vms(&mut self, state: &State, now: Now, plan: &mut Plan) {
-        let mut suspects: Vec<_> = self.suspects.drain().collect();
-        suspects.sort_unstable();
-        for id in suspects {
+    /// Quarantines VMs on which starts fail repeatedly, and probes the VMs in quarantine.
+    fn update_quarantine(&mut self, state: &State, now: Now, plan: &mut Plan) {
+        let mut candidates: Vec<_> = self.quarantine_candidates.drain().collect();
+        candidates.sort_unstable();
+        for id in candidates {
             let Some(vm) = state.vms.get(id).filter(|it| !it.quarantined) else { continue };
             plan.vm_flags.push(VmFlagsCommand { vm: id, draining: vm.draining, quarantined: true });
         }
-        let waited = |vm: &Vm| vm.changed_ms + self.options.quarantine_ms <= now.wall_ms;
-        let open = self.quarantined.iter().filter_map(|id| state.vms.get(*id));
-        let due: Vec<_> =
-            open.filter(|vm| vm.session.is_some() && vm.tasks.is_empty() && waited(vm)).collect();
+        let is_probe_due = |vm: &Vm| vm.changed_ms + self.options.quarantine_ms <= now.wall_ms;
+        let quarantined = self.quarantined.iter().filter_map(|id| state.vms.get(*id));
+        let due: Vec<_> = quarantined
+            .filter(|vm| vm.session.is_some() && vm.tasks.is_empty() && is_probe_due(vm))
+            .collect();
         for vm in due {
             self.probe(state, vm, now, plan);
         }
     }
 
-    /// Starts one waiting task on a VM in quarantine.
+    /// Starts one waiting task on a VM in quarantine to test whether the VM works again.
     fn probe(&mut self, state: &State, vm: &Vm, now: Now, plan: &mut Plan) {
         let Some(session) = vm.session.as_ref().map(|it| it.id) else { return };
         if self.reservations_by_vm.contains_key(&vm.id) {
             return;
         }
-        let candidates = self.queue.candidates(TRIED_PER_PLAN);
+        let candidates = self.queue.candidates(CANDIDATES_PER_PLAN);
         let probe = candidates.iter().find(|it| {
             it.tier >= Tier::Due
                 && !self.reservations.contains_key(&it.task)
@@ -438,7 +439,7 @@
         });
     }
 
-    fn try_candidate(&mut self, state: &State, it: &StartCandidate, now: Now, plan: &mut Plan) {
+    fn plan_candidate(&mut self, state: &State, it: &StartCandidate, now: Now, plan: &mut Plan) {
         let Some(task) = state.jobs.task(it.task).filter(|it| it.state.is_waiting()) else {
             return;
         };
@@ -454,28 +455,30 @@
             });
             return;
         }
-        let held = self.reservations.get(&it.task).copied();
-        if held.is_some_and(|reservation| self.is_proposed(reservation, now)) {
+        let reservation = self.reservations.get(&it.task).copied();
+        if reservation.is_some_and(|reservation| self.is_proposed(reservation, now)) {
             return;
         }
-        // Room that was freed for this task is its own; to everyone else it looks taken.
-        let own = held.filter(|reservation| {
+        // The index counts this task's reservation as used, so the reserved VM is checked directly.
+        let usable = reservation.filter(|reservation| {
             self.fits_reservation(state, reservation.vm, reservation.need, it.task)
         });
-        let chosen = own.map(|reservation| reservation.vm).or_else(|| match held {
+        let chosen = usable.map(|reservation| reservation.vm).or_else(|| match reservation {
             Some(_) => None,
-            None => {
-                self.index.choose(it.need, aim_of(it.tier), &Costs::new(self, state, task, it.tier))
-            }
+            None => self.free_capacity_index.choose(
+                it.need,
+                placement_strategy_of(it.tier),
+                &Costs::new(self, state, task, it.tier),
+            ),
         });
         let chosen = match chosen {
-            None if it.tier == Tier::Urgent && held.is_none() => {
+            None if it.tier == Tier::Urgent && reservation.is_none() => {
                 self.find_reserved_vm(state, it.need)
             }
             it => it,
         };
-        let session = chosen.and_then(|vm| Some((vm, state.vms.get(vm)?.session.as_ref()?.id)));
-        match session {
+        let target = chosen.and_then(|vm| Some((vm, state.vms.get(vm)?.session.as_ref()?.id)));
+        match target {
             Some((vm, session)) => {
                 plan.starts.push(StartCommand {
                     task: it.task,
@@ -489,14 +492,14 @@
                     Reservation { vm, need: it.need, until_ms: now.mono_ms + RESERVATION_MS / 4 },
                 );
             }
-            None if it.tier == Tier::Urgent && self.options.preempts && held.is_none() => {
+            None if it.tier == Tier::Urgent && self.options.preempts && reservation.is_none() => {
                 self.preempt(state, it, now, plan);
             }
             None => (),
         }
     }
 
-    /// Returns whether a hold stands for a start that was proposed and is not applied yet.
+    /// Returns whether a reservation belongs to a proposed start that is not applied yet.
     fn is_proposed(&self, reservation: Reservation, now: Now) -> bool {
         reservation.until_ms <= now.mono_ms + RESERVATION_MS / 4
     }
@@ -511,18 +514,18 @@
         it.has_capacity_for(need) && crate::control::state::fits(need, free)
     }
 
-    /// Returns whether a task failed on so many VMs that it, and not they, must be at fault.
+    /// Returns whether a task failed on so many VMs that the task is at fault, not the VMs.
     fn is_poison(&self, state: &State, task: &Task) -> bool {
-        // A VM that fails everything is in quarantine, and the task is not blamed for it.
-        let blamed = task
+        // Failures on a VM in quarantine do not count: every task fails there.
+        let failed_vm_count = task
             .failed_on
             .iter()
             .filter(|id| state.vms.get(**id).is_none_or(|it| !it.quarantined))
             .count();
-        let open =
+        let healthy_vm_count =
             state.vms.iter().filter(|it| it.session.is_some() && !it.quarantined).take(16).count();
-        let enough = (self.options.task_failures_max as usize).min(open.max(1));
-        enough <= blamed
+        let failures_max = (self.options.task_failures_max as usize).min(healthy_vm_count.max(1));
+        failures_max <= failed_vm_count
     }
 }
 
@@ -531,7 +534,7 @@
     vm.session.is_some() && !vm.draining && !vm.quarantined && !is_evacuated
 }
 
-fn aim_of(tier: Tier) -> PlacementStrategy {
+fn placement_strategy_of(tier: Tier) -> PlacementStrategy {
     match tier {
         Tier::Service => PlacementStrategy::Spread,
         Tier::Urgent | Tier::Due | Tier::Batch => PlacementStrategy::Pack,
--- a/src/control/scheduler/placed_tasks.rs
+++ b/src/control/scheduler/placed_tasks.rs
@@ -1,21 +1,21 @@
-//! Which kinds of batch work run beside each other on a VM.
+//! The placed tasks, and the CPU use of each kind of batch work on each VM.
 //!
-//! Kept by addition and subtraction as tasks come and go: summing a VM's tasks anew for every
-//! candidate of every start was most of a start's cost.
+//! The sums per VM are updated incrementally as tasks are placed and removed. Summing a VM's tasks
+//! for every candidate VM of every start would be most of the cost of a start.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::prelude::*;
 
-/// What a task counted as running holds.
+/// A task that is placed on a VM.
 #[derive(Clone, Debug)]
 pub(super) struct PlacedTask {
     pub team: CompactString,
     pub need: Resources,
     pub vm: VmId,
-    /// Its kind, where it is batch work, which can harm services.
+    /// Kind of a batch task, which can slow services down; `None` for a service.
     pub kind: Option<CompactString>,
-    /// Processors that a throttle leaves it.
+    /// CPU limit of the task: its requested processors, reduced by a throttle.
     pub allowed_millicores: u64,
 }
 
@@ -25,12 +25,12 @@
     tasks: u32,
 }
 
-/// The tasks that run, by task and summed up by VM.
+/// The placed tasks by id, and their sums by VM and kind.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PlacedTasks {
     tasks: HashMap<TaskId, PlacedTask>,
     kinds: HashMap<VmId, HashMap<CompactString, KindSum>>,
-    /// VMs whose mix has changed since it was last noted.
+    /// VMs whose mix of tasks has changed since the last [`PlacedTasks::take_changed`].
     changed: BTreeSet<VmId>,
 }
 
@@ -68,7 +68,7 @@
         self.tasks.get(&task)
     }
 
-    /// Notes that a task is held to a part of its processors, which is all that it can harm with.
+    /// Limits a task to a part of its processors; only that part counts as a cause of slow-down.
     pub(super) fn throttle(&mut self, task: TaskId, permille: u32) {
         if let Some(mut it) = self.remove(task) {
             it.allowed_millicores = u64::from(it.need.cpu_millicores) * u64::from(permille) / 1_000;
@@ -76,23 +76,23 @@
         }
     }
 
-    /// Returns the kinds on a VM with their shares of its processors, in a fixed order.
+    /// Returns the kinds on a VM and the fraction of its processors each uses, sorted by kind.
     pub(super) fn kinds_on(&self, vm: VmId, capacity: Resources) -> Vec<(CompactString, f64)> {
-        let of = f64::from(capacity.cpu_millicores.max(1));
+        let total_millicores = f64::from(capacity.cpu_millicores.max(1));
         let kinds = self.kinds.get(&vm).into_iter().flatten();
-        let mut res: Vec<_> =
-            kinds.map(|(kind, sum)| (kind.clone(), sum.millicores as f64 / of)).collect();
+        let mut res: Vec<_> = kinds
+            .map(|(kind, sum)| (kind.clone(), sum.millicores as f64 / total_millicores))
+            .collect();
         res.sort_unstable_by(|a, b| a.0.cmp(&b.0));
         res
     }
 
-    /// Takes the VMs whose mix has changed since the last call.
     pub(super) fn take_changed(&mut self) -> BTreeSet<VmId> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Forgets a VM whose session ended.
-    pub(super) fn forget(&mut self, vm: VmId) {
+    /// Removes the sums of a VM that has no batch tasks left.
+    pub(super) fn remove_empty_vm(&mut self, vm: VmId) {
         if self.kinds.get(&vm).is_some_and(HashMap::is_empty) {
             self.kinds.remove(&vm);
         }
--- a/src/control/scheduler/reserve.rs
+++ b/src/control/scheduler/reserve.rs
@@ -1,33 +1,30 @@
-//! Room kept free for urgent work, by what its arrivals of late say is needed.
+//! Sizes the capacity reserved for urgent work from the recent arrivals of urgent tasks.
 //!
-//! Evicting alone cannot keep both promises: each urgent start that finds no room spends from the
-//! disruption target, and once that is spent the next one waits. A reserve costs its size in
-//! batch throughput, and only while urgent work does arrive.
+//! Eviction alone cannot meet both the urgent start target and the eviction limit: each urgent
+//! start without free capacity spends eviction budget, and once that is spent the next one waits.
+//! The reserve costs batch throughput equal to its size, and only while urgent tasks arrive.
 
 use std::collections::VecDeque;
 
 use crate::prelude::*;
 
-/// How far back arrivals count.
-const PAST_MS: u64 = 600_000;
+/// Age up to which arrivals count.
+const ARRIVAL_WINDOW_MS: u64 = 600_000;
 
-/// Time within which urgent work is to start; arrivals in it need room beside each other.
-const START_MS: u64 = 8_300;
+/// Time within which urgent tasks must start; tasks arriving within it need capacity at once.
+const START_TARGET_MS: u64 = 8_300;
 
-/// Most places kept.
-const PLACES_MAX: usize = 4;
+const RESERVATIONS_MAX: usize = 4;
 
-/// Arrivals remembered.
+/// Highest number of arrivals kept; the oldest are dropped.
 const ARRIVALS_MAX: usize = 1_000;
 
-/// The urgent arrivals of late.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UrgentReserve {
     arrivals: VecDeque<(u64, Resources)>,
 }
 
 impl UrgentReserve {
-    /// Notes the arrival of an urgent task.
     pub(super) fn note_arrival(&mut self, now: Now, need: Resources) {
         self.arrivals.push_back((now.mono_ms, need));
         if ARRIVALS_MAX < self.arrivals.len() {
@@ -35,9 +32,13 @@
         }
     }
 
-    /// Returns how many places are to be kept, and how large each.
-    pub(super) fn wanted(&mut self, now: Now) -> (usize, Resources) {
-        while self.arrivals.front().is_some_and(|(at_ms, _)| at_ms + PAST_MS < now.mono_ms) {
+    /// Returns the required number of reservations, and the size of each.
+    pub(super) fn required(&mut self, now: Now) -> (usize, Resources) {
+        while self
+            .arrivals
+            .front()
+            .is_some_and(|(arrived_ms, _)| arrived_ms + ARRIVAL_WINDOW_MS < now.mono_ms)
+        {
             self.arrivals.pop_front();
         }
         let needs = self.arrivals.iter().map(|(_, need)| *need);
@@ -47,17 +48,17 @@
             accelerators: a.accelerators.max(b.accelerators),
         });
         let Some(largest) = largest else { return (0, crate::control::state::NO_RESOURCES) };
-        let in_window = (self.arrivals.len() as u64 * START_MS).div_ceil(PAST_MS);
-        ((in_window as usize).min(PLACES_MAX), largest)
+        let concurrent_arrivals =
+            (self.arrivals.len() as u64 * START_TARGET_MS).div_ceil(ARRIVAL_WINDOW_MS);
+        ((concurrent_arrivals as usize).min(RESERVATIONS_MAX), largest)
     }
 
-    /// Returns the key under which a place is held, which no task has.
-    pub(super) fn key_of(place: usize) -> TaskId {
-        TaskId(u64::MAX - place as u64)
+    /// Returns the key of a reservation: a task id that no task has.
+    pub(super) fn key_of(index: usize) -> TaskId {
+        TaskId(u64::MAX - index as u64)
     }
 
-    /// Returns the keys of all places.
     pub(super) fn keys() -> impl Iterator<Item = TaskId> {
-        (0..PLACES_MAX).map(UrgentReserve::key_of)
+        (0..RESERVATIONS_MAX).map(UrgentReserve::key_of)
     }
 }
--- a/src/control/scheduler/urgent.rs
+++ b/src/control/scheduler/urgent.rs
@@ -1,11 +1,11 @@
-//! Room for urgent work: reserved, or made by eviction.
+//! Capacity for urgent work: reserved in advance, or freed by eviction.
 
 use std::collections::BTreeMap;
 
 use crate::{
     control::{
         scheduler::{
-            Plan, RESERVATION_MS, Reservation, Scheduler, VICTIM_VMS, is_open,
+            Plan, RESERVATION_MS, Reservation, Scheduler, VICTIM_VMS_MAX, is_open,
             reserve::UrgentReserve,
         },
         state::{State, Vm, subtract},
@@ -18,46 +18,46 @@
 };
 
 impl Scheduler {
-    /// Keeps as many places free as urgent arrivals of late call for.
-    pub(super) fn keep_reserve(&mut self, state: &State, now: Now) {
+    /// Adjusts the reservations for urgent work to its recent arrivals.
+    pub(super) fn update_urgent_reserve(&mut self, state: &State, now: Now) {
         for need in std::mem::take(&mut self.urgent_arrivals) {
             self.urgent_reserve.note_arrival(now, need);
         }
-        let (count, need) = self.urgent_reserve.wanted(now);
+        let (count, need) = self.urgent_reserve.required(now);
         let count = if self.options.keeps_urgent_reserve { count } else { 0 };
-        for (at, key) in UrgentReserve::keys().enumerate() {
-            let held = self.reservations.get(&key).copied();
-            let is_open =
-                held.is_some_and(|it| state.vms.get(it.vm).is_some_and(|vm| is_open(state, vm)));
-            match held {
-                Some(it) if count <= at || it.need != need || !is_open => {
+        for (number, key) in UrgentReserve::keys().enumerate() {
+            let reservation = self.reservations.get(&key).copied();
+            let is_open = reservation
+                .is_some_and(|it| state.vms.get(it.vm).is_some_and(|vm| is_open(state, vm)));
+            match reservation {
+                Some(it) if count <= number || it.need != need || !is_open => {
                     self.release_reservation(key);
                     self.refresh_free_capacity(state, it.vm);
                 }
                 Some(_) => continue,
                 None => (),
             }
-            // What runs there now ends in time, and nothing new takes its room.
-            if at < count
-                && let Some(vm) = self.index.vm_with_most_free_cpu()
+            // The VM may be full now: its tasks end in time, and no new task takes their place.
+            if number < count
+                && let Some(vm) = self.free_capacity_index.vm_with_most_free_cpu()
             {
                 self.reserve(state, key, Reservation { vm, need, until_ms: u64::MAX });
             }
         }
     }
 
-    /// Returns the VM of a reserved place that has its room.
+    /// Returns the VM of a reservation whose capacity is free now.
     ///
-    /// The place stays reserved: what an urgent task leaves there when it ends is for the next one.
+    /// The reservation stays: the capacity freed when this urgent task ends is for the next one.
     pub(super) fn find_reserved_vm(&self, state: &State, need: Resources) -> Option<VmId> {
-        let has_room = |key: TaskId| {
+        let vm_if_free = |key: TaskId| {
             let reservation = self.reservations.get(&key)?;
             self.fits_reservation(state, reservation.vm, need, key).then_some(reservation.vm)
         };
-        UrgentReserve::keys().find_map(has_room)
+        UrgentReserve::keys().find_map(vm_if_free)
     }
 
-    /// Makes room for an urgent task by evicting batch work on one VM.
+    /// Frees capacity for an urgent task by evicting batch work on one VM.
     pub(super) fn preempt(
         &mut self,
         state: &State,
@@ -67,28 +67,28 @@
     ) {
         let after = state.vms.iter().filter(|vm| self.victim_cursor < vm.id);
         let before = state.vms.iter().filter(|vm| vm.id <= self.victim_cursor);
-        let looked_at: Vec<_> = after.chain(before).take(VICTIM_VMS).collect();
+        let searched_vms: Vec<_> = after.chain(before).take(VICTIM_VMS_MAX).collect();
         let mut best: Option<(u64, VmId, Vec<TaskId>)> = None;
-        for vm in looked_at {
+        for vm in searched_vms {
             self.victim_cursor = vm.id;
             if !is_open(state, vm) {
                 continue;
             }
-            let held = self
+            let reservations = self
                 .reservations_by_vm
                 .get(&vm.id)
                 .into_iter()
                 .flatten()
                 .filter_map(|it| self.reservations.get(it));
-            let free = held.fold(vm.free_capacity(), |free, it| subtract(free, it.need));
+            let free = reservations.fold(vm.free_capacity(), |free, it| subtract(free, it.need));
             let victims = self.victims_on(state, vm, now);
             let Some((tasks, lost_ms)) = choose_victims(it.need, free, &victims) else { continue };
-            if best.as_ref().is_none_or(|(least, _, _)| lost_ms < *least) {
+            if best.as_ref().is_none_or(|(least_lost_ms, _, _)| lost_ms < *least_lost_ms) {
                 best = Some((lost_ms, vm.id, tasks));
             }
         }
         let Some((_, vm, victims)) = best else { return };
-        if !self.may_evict(state, &victims, now, EvictionPurpose::UrgentStart) {
+        if !self.charge_evictions(state, &victims, now, EvictionPurpose::UrgentStart) {
             return;
         }
         for id in victims {
@@ -120,10 +120,10 @@
         batch.collect()
     }
 
-    /// Takes the evictions of `tasks` from the budgets of their classes: all of them or none.
+    /// Charges the evictions of `tasks` to the budgets of their classes: all of them or none.
     ///
-    /// Taking some and then finding the next refused would spend the budget on nothing.
-    pub(super) fn may_evict(
+    /// Charging some before another is refused would spend budget although no task is evicted.
+    pub(super) fn charge_evictions(
         &mut self,
         state: &State,
         tasks: &[TaskId],
@@ -136,9 +136,9 @@
             let Some(class) = job.and_then(|it| state.class(&it.spec.class)) else { return false };
             by_class.entry(&class.name).or_insert((class.evictions_per_hour, 0)).1 += 1;
         }
-        let evictions = &mut self.evictions;
+        let budgets = &mut self.eviction_budgets;
         let mut allows = |class: &CompactString, per_hour: u32, count: u32| {
-            let budget = evictions.entry(class.clone());
+            let budget = budgets.entry(class.clone());
             let budget = budget.or_insert_with(|| EvictionBudget::new(per_hour, now.mono_ms));
             budget.allows(per_hour, now.mono_ms, purpose, count)
         };
@@ -146,7 +146,7 @@
             return false;
         }
         for (class, (_, count)) in by_class {
-            if let Some(it) = self.evictions.get_mut(class) {
+            if let Some(it) = self.eviction_budgets.get_mut(class) {
                 it.spend(count);
             }
         }
--- a/src/control/views.rs
+++ b/src/control/views.rs
@@ -1,4 +1,4 @@
-//! What the leader answers to reads, as JSON documents.
+//! Answers of the leader to queries, as JSON documents.
 
 use std::collections::BTreeMap;
 
@@ -12,11 +12,10 @@
     prelude::*,
 };
 
-/// Jobs shown at once.
-const JOBS_SHOWN: usize = 500;
+/// Highest number of jobs or tasks in one view.
+const JOBS_SHOWN_MAX: usize = 500;
 
-/// History rows shown at once.
-const HISTORY_SHOWN: usize = 200;
+const HISTORY_ROWS_MAX: usize = 200;
 
 pub(super) fn job(state: &State, it: &JobQuery) -> ReplyResult {
     let job = find_job(state, it)?;
@@ -53,7 +52,7 @@
         AdminView::Teams => json!(state.configuration.teams),
         AdminView::Classes => json!(state.configuration.classes),
         AdminView::History => {
-            json!(state.history.iter().rev().take(HISTORY_SHOWN).collect::<Vec<_>>())
+            json!(state.history.iter().rev().take(HISTORY_ROWS_MAX).collect::<Vec<_>>())
         }
         AdminView::Vms => {
             json!(state.vms.iter().map(|it| vm_value(core, it, now)).collect::<Vec<_>>())
@@ -63,7 +62,7 @@
             None => json!([]),
         },
         AdminView::Jobs => {
-            let jobs = state.jobs.jobs().rev().take(JOBS_SHOWN);
+            let jobs = state.jobs.jobs().rev().take(JOBS_SHOWN_MAX);
             json!(jobs.map(|it| job_value(state, it)).collect::<Vec<_>>())
         }
         AdminView::Leases => leases(core, now),
@@ -75,7 +74,7 @@
     document(&value)
 }
 
-/// Returns the zones that are out of use, with the VMs and workers that stand there.
+/// Returns the evacuated zones, with the number of VMs and workers in each.
 fn evacuations(state: &State) -> Value {
     let list = state.workflows.evacuations();
     let row = |it: &Evacuation| {
@@ -119,7 +118,7 @@
 }
 
 fn vm_value(core: &ControlCore, vm: &Vm, now: Now) -> Value {
-    let seen =
+    let agent =
         vm.session.as_ref().and_then(|it| core.leader_state.as_ref()?.sessions.agents.get(&it.id));
     json!({
         "vm": vm.id,
@@ -130,18 +129,18 @@
         "reserved": vm.used,
         "tasks": vm.tasks.len(),
         "session": vm.session.as_ref().map(|it| it.id),
-        "draining": vm.draining || seen.is_some_and(|it| it.draining),
+        "draining": vm.draining || agent.is_some_and(|it| it.draining),
         "quarantined": vm.quarantined,
         "closed_to_batch": core.scheduler().is_some_and(|it| it.is_closed_to_batch(vm.id)),
-        "in_force": seen.map(|it| it.in_force),
-        "lease_left_ms": seen.map(|it| it.lease_expires_ms.saturating_sub(now.mono_ms)),
-        "usage": seen.map(|it| it.usage),
+        "in_force": agent.map(|it| it.in_force),
+        "lease_left_ms": agent.map(|it| it.lease_expires_ms.saturating_sub(now.mono_ms)),
+        "usage": agent.map(|it| it.usage),
     })
 }
 
 fn leases(core: &ControlCore, now: Now) -> Value {
-    let held = core.state.vms.iter().filter(|it| it.session.is_some());
-    let rows = held.map(|vm| {
+    let vms = core.state.vms.iter().filter(|it| it.session.is_some());
+    let rows = vms.map(|vm| {
         let value = vm_value(core, vm, now);
         json!({"name": vm.name, "session": value["session"], "lease_left_ms": value["lease_left_ms"], "tasks": vm.tasks})
     });
@@ -190,16 +189,17 @@
 }
 
 fn dead_letters(state: &State) -> Value {
-    let tasks = state.jobs.tasks().filter(|it| it.state == TaskState::DeadLetter).take(JOBS_SHOWN);
+    let tasks =
+        state.jobs.tasks().filter(|it| it.state == TaskState::DeadLetter).take(JOBS_SHOWN_MAX);
     json!(tasks.collect::<Vec<_>>())
 }
 
-/// The table that an operator reads first.
+/// Returns the overview of the group, entries, VMs and classes.
 fn status(core: &ControlCore, now: Now) -> Value {
     let state = &core.state;
     let entries: Vec<_> = core.leader_state.iter().flat_map(|it| &it.sessions.entries).collect();
     let classes = state.configuration.classes.iter().map(|class| {
-        // The worst entry is shown: percentiles of several cannot be added up.
+        // The highest value of all entries is shown, since percentiles cannot be combined.
         let measured =
             entries.iter().flat_map(|(_, it)| &it.latencies).filter(|it| it.class == class.name);
         json!({
