--- a/src/control/dispatch/capacity.rs
+++ b/src/control/dispatch/capacity.rs
@@ -1,8 +1,8 @@
-//! What is left on each worker, kept from plan to plan.
+//! Free capacity of each worker, cached between plans.
 //!
-//! A room is made anew only for a worker whose runs have changed. What serves there and what
-//! fillers take from it is read again at a pace of its own, since reports bring it each half
-//! second at most: on 240 workers a plan that made all rooms anew took most of the leader's time.
+//! A worker's free capacity is rebuilt only if its runs have changed. The loads and costs in it are
+//! refreshed at an interval of their own, since reports arrive at most every half second: with 240
+//! workers, plans that rebuilt every entry took most of the leader's time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,28 +23,28 @@
     prelude::*,
 };
 
-/// Headroom, in percent, down to which fillers may be placed beside a serving task. It lies far
-/// above what the pacer keeps: loads change over seconds and a filler stays for some, so what is
-/// placed closer is soon halted and holds up its workflow.
+/// Least headroom, in percent, that placement of fillers leaves a serving task. It is far above
+/// what the throttler keeps: loads change within seconds and a filler runs for some, so one placed
+/// at less headroom is soon suspended and delays its workflow.
 ///
-/// Over 24 played days, 120 and a speed of 0.5 left 753 of 5,661 two-second slots of services
-/// unserved and 998 of 1,811 batch workflows in time; 160 and 0.9 left 579 and 1,052, with the
-/// costs of alike images.
+/// At 120 % and a minimum speed of 0.5, 753 of 5,661 two-second slots of services were unserved and
+/// 998 of 1,811 batch workflows ended in time; at 160 % and 0.9, with costs estimated from similar
+/// images, 579 and 1,052.
 const HEADROOM_MIN_PERCENT: f64 = 160.0;
 
-/// Share of its speed below which a filler is rather kept waiting, since it would hold up the
-/// rest of its step where it is, and harm what serves there meanwhile.
-const SPEED_MIN: f64 = 0.9;
+/// Share of its full speed below which a filler is not placed: it would delay the rest of its step
+/// and meanwhile slow down the tasks that serve there.
+const FILLER_SPEED_MIN: f64 = 0.9;
 
-/// Headroom that a serving task placed by the same plan is taken to have: what one at half load
-/// leaves.
-const UNSEEN_REST_PERCENT: f64 = 280.0;
+/// Headroom assumed for a serving task placed by the same plan, whose load is not known yet: that
+/// of a task at half load.
+const NEW_TASK_HEADROOM_PERCENT: f64 = 280.0;
 
-/// Interval at which loads and costs are read anew into all rooms: a fifth of that at which a
+/// Interval at which the loads and costs of all workers are refreshed: a fifth of the interval of
 /// worker reports.
-const READ_INTERVAL_MS: u64 = 100;
+const REFRESH_INTERVAL_MS: u64 = 100;
 
-/// What a task needs, with its image by key.
+/// Requirements of a task for its placement.
 #[derive(Clone, Copy)]
 pub(super) struct TaskDemand<'a> {
     pub step: &'a WorkflowStep,
@@ -68,38 +68,41 @@
     }
 }
 
-/// An image that serves on a worker.
+/// The serving tasks of one image on a worker.
 #[derive(Clone, Debug, PartialEq)]
-struct Served {
+struct ServedImage {
     image: ImageKey,
-    /// Loads that its tasks share, by the step that they are of.
-    groups: Vec<StepRef>,
-    /// Headroom with no filler beside it, of the load that leaves least.
+    /// Steps that the tasks belong to; tasks of a step share a load.
+    steps: Vec<StepRef>,
+    /// Headroom with no filler beside the tasks, at the step's load that leaves the least.
     idle_headroom_percent: f64,
-    /// What the fillers here take from it at full speed.
+    /// Headroom that the worker's fillers use at full speed.
     used_percent: f64,
-    /// What its tasks reserve for their peaks, and the share of it that they use now. By a share
-    /// of 45 % at any time, 60 days of seven deployments earned 0.027 less (+-0.011).
+    /// Processor that the tasks reserve for their peaks.
     millicores: u32,
+    /// Share of the reservation in use now. A fixed share of 45 % scored 0.027 (+-0.011) less over
+    /// 60 days of seven deployments.
     cpu_use_share: f64,
 }
 
-impl Served {
-    /// Returns the headroom that further fillers may take.
-    fn room_percent(&self) -> f64 {
+impl ServedImage {
+    /// Returns the headroom that further fillers may use; negative if the fillers here use too
+    /// much.
+    fn spare_headroom_percent(&self) -> f64 {
         self.idle_headroom_percent - HEADROOM_MIN_PERCENT - self.used_percent
     }
 
-    fn read(&mut self, fillers: &[FillerLoad], contention: &ContentionModel) {
-        let rests = self.groups.iter().map(|it| contention.idle_headroom_percent(self.image, *it));
-        self.idle_headroom_percent = rests.fold(f64::MAX, f64::min);
+    fn refresh_loads(&mut self, fillers: &[FillerLoad], contention: &ContentionModel) {
+        let headrooms =
+            self.steps.iter().map(|it| contention.idle_headroom_percent(self.image, *it));
+        self.idle_headroom_percent = headrooms.fold(f64::MAX, f64::min);
         self.used_percent = contention.used_percent(self.image, fillers);
-        let uses = self.groups.iter().map(|it| contention.cpu_use_share(self.image, *it));
-        self.cpu_use_share = uses.reduce(f64::max).unwrap_or(MEAN_CPU_USE_SHARE);
+        let shares = self.steps.iter().map(|it| contention.cpu_use_share(self.image, *it));
+        self.cpu_use_share = shares.reduce(f64::max).unwrap_or(MEAN_CPU_USE_SHARE);
     }
 }
 
-/// What is left on one worker.
+/// Free capacity of one worker.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct FreeCapacity {
     pub id: WorkerId,
@@ -108,10 +111,10 @@
     rack: CompactString,
     free: Resources,
     capacity_millicores: u32,
-    /// One for each image: together, what its runs use at full speed.
+    /// For each image, the processor that its fillers here use together at full speed.
     fillers: Vec<FillerLoad>,
     filler_millicores: u32,
-    served: Vec<Served>,
+    served: Vec<ServedImage>,
 }
 
 impl FreeCapacity {
@@ -136,41 +139,40 @@
             let Some(step) = workflows.step_of(run.task) else { continue };
             match RunKind::of(step, contention) {
                 RunKind::Serving { image, .. } => {
-                    let served = res.served_of(image);
+                    let served = res.served_image_mut(image);
                     served.millicores += step.need.cpu_millicores;
-                    let group = StepRef::of_task(run.task);
-                    if !served.groups.contains(&group) {
-                        served.groups.push(group);
+                    let step_ref = StepRef::of_task(run.task);
+                    if !served.steps.contains(&step_ref) {
+                        served.steps.push(step_ref);
                     }
                 }
                 RunKind::Filler { image, millicores } => {
-                    res.note_filler(image, res.cores(millicores))
+                    res.add_filler_cores(image, res.cores(millicores))
                 }
                 RunKind::Plain => (),
             }
         }
-        res.read(contention);
+        res.refresh_loads(contention);
         res
     }
 
-    /// Returns processor as costs count it.
+    /// Converts processor time of this worker to reference cores, the unit of costs.
     fn cores(&self, millicores: u32) -> f64 {
         reference_cores(millicores, self.capacity_millicores)
     }
 
-    /// Reads loads and costs anew.
-    fn read(&mut self, contention: &ContentionModel) {
+    fn refresh_loads(&mut self, contention: &ContentionModel) {
         for it in &mut self.served {
-            it.read(&self.fillers, contention);
+            it.refresh_loads(&self.fillers, contention);
         }
     }
 
-    fn served_of(&mut self, image: ImageKey) -> &mut Served {
-        let found = self.served.iter().position(|it| it.image == image);
-        let at = found.unwrap_or_else(|| {
-            self.served.push(Served {
+    fn served_image_mut(&mut self, image: ImageKey) -> &mut ServedImage {
+        let position = self.served.iter().position(|it| it.image == image);
+        let index = position.unwrap_or_else(|| {
+            self.served.push(ServedImage {
                 image,
-                groups: Vec::new(),
+                steps: Vec::new(),
                 idle_headroom_percent: f64::MAX,
                 used_percent: 0.0,
                 millicores: 0,
@@ -178,78 +180,81 @@
             });
             self.served.len() - 1
         });
-        &mut self.served[at]
+        &mut self.served[index]
     }
 
-    /// Notes processor that fillers of an image use beside what is here; negative for less.
-    fn note_filler(&mut self, image: ImageKey, cores: f64) {
+    /// Adds to the processor that fillers of an image use; a negative value subtracts.
+    fn add_filler_cores(&mut self, image: ImageKey, cores: f64) {
         match self.fillers.iter_mut().find(|it| it.image == image) {
             Some(it) => it.cores += cores,
             None => self.fillers.push(FillerLoad { image, cores }),
         }
     }
 
-    /// Returns the processor that neither reservations nor fillers have taken.
+    /// Returns the processor that is neither reserved nor used by fillers.
     fn idle_millicores(&self) -> u32 {
         self.free.cpu_millicores.saturating_sub(self.filler_millicores)
     }
 
-    /// Returns the processor that a further filler would find unused.
+    /// Returns the processor that a further filler could use: idle processor, and reserved
+    /// processor that serving tasks do not use now.
     fn unused_millicores(&self) -> u32 {
-        let unused = |it: &Served| f64::from(it.millicores) * (1.0 - it.cpu_use_share);
+        let unused = |it: &ServedImage| f64::from(it.millicores) * (1.0 - it.cpu_use_share);
         let unused = self.served.iter().map(unused).sum::<f64>() as u32;
         (self.free.cpu_millicores + unused).saturating_sub(self.filler_millicores)
     }
 
-    /// Returns the share of its speed that a further filler would reach.
+    /// Returns the share of its full speed that a further filler would reach here.
     pub(super) fn speed_of(
         &self,
         image: ImageKey,
         millicores: u32,
         contention: &ContentionModel,
     ) -> f64 {
-        let processor = f64::from(self.unused_millicores()) / f64::from(millicores.max(1));
-        let pace =
-            |it: &Served| match contention.cost_percent(it.image, image) * self.cores(millicores) {
-                cost if cost <= NEGLIGIBLE_COST_PERCENT => 1.0,
-                cost => it.room_percent() / cost,
-            };
-        self.served.iter().map(pace).fold(processor, f64::min).clamp(0.0, 1.0)
+        let cpu_speed = f64::from(self.unused_millicores()) / f64::from(millicores.max(1));
+        let speed_beside = |it: &ServedImage| match contention.cost_percent(it.image, image)
+            * self.cores(millicores)
+        {
+            cost if cost <= NEGLIGIBLE_COST_PERCENT => 1.0,
+            cost => it.spare_headroom_percent() / cost,
+        };
+        self.served.iter().map(speed_beside).fold(cpu_speed, f64::min).clamp(0.0, 1.0)
     }
 
-    /// Returns what a further filler would take from all images that serve here.
+    /// Returns the headroom, summed over all images that serve here, that a further filler would
+    /// use.
     fn cost_of(&self, image: ImageKey, millicores: u32, contention: &ContentionModel) -> f64 {
         let costs = self.served.iter().map(|it| contention.cost_percent(it.image, image));
         costs.sum::<f64>() * self.cores(millicores)
     }
 
-    fn holds(&self, demand: &TaskDemand<'_>, placed: u32) -> bool {
+    fn can_hold(&self, demand: &TaskDemand<'_>, placed_count: u32) -> bool {
         let step = demand.step;
         fits(demand.reservation, self.free)
-            && (step.per_worker_max == 0 || placed < step.per_worker_max)
+            && (step.per_worker_max == 0 || placed_count < step.per_worker_max)
             && (step.required_label.is_empty() || step.required_label == self.kind)
             && self.service == demand.queue.service
     }
 
-    /// Returns how much the worker is wanted for a task, or nothing if it cannot take it.
+    /// Returns how well the worker suits a task, or `None` if it cannot run it.
     pub(super) fn offer(
         &self,
         demand: &TaskDemand<'_>,
-        placed: u32,
+        placed_count: u32,
         mode: PlacementMode,
         contention: &ContentionModel,
     ) -> Option<Preference> {
-        if !self.holds(demand, placed) {
+        if !self.can_hold(demand, placed_count) {
             return None;
         }
         let step = demand.step;
         let serving: u32 = self.served.iter().map(|it| it.millicores).sum();
-        let packed = i64::from(serving) - i64::from(self.idle_millicores());
+        let packing = i64::from(serving) - i64::from(self.idle_millicores());
         let rank = match demand.run_kind {
-            // Where it is fast, then where it costs least, then where most is unused.
+            // Highest speed first, then least cost to serving tasks, then most unused processor.
             RunKind::Filler { image, millicores } => {
                 let speed = self.speed_of(image, millicores, contention);
-                if mode == PlacementMode::ProtectLatency && speed < SPEED_MIN {
+                if mode == PlacementMode::ProtectLatency && speed < FILLER_SPEED_MIN {
                     return None;
                 }
                 [
@@ -258,61 +263,63 @@
                     i64::from(self.unused_millicores()),
                 ]
             }
-            // Images keep to few workers each, so that a filler that harms one finds others.
+            // Each image is kept on few workers, so that a filler that slows it down finds others.
             RunKind::Serving { image, .. } => {
-                let own = self.served.iter().find(|it| it.image == image);
-                let taken = contention.used_percent(image, &self.fillers);
-                let own_millicores = own.map_or(0, |it| i64::from(it.millicores));
+                let same_image = self.served.iter().find(|it| it.image == image);
+                let used_percent = contention.used_percent(image, &self.fillers);
+                let same_image_millicores = same_image.map_or(0, |it| i64::from(it.millicores));
                 let is_empty = i64::from(self.served.is_empty());
                 [
-                    -(taken / (5.0 * NEGLIGIBLE_COST_PERCENT)) as i64,
-                    own_millicores + is_empty,
-                    packed,
+                    -(used_percent / (5.0 * NEGLIGIBLE_COST_PERCENT)) as i64,
+                    same_image_millicores + is_empty,
+                    packing,
                 ]
             }
-            // What only reserves is packed, so that some workers are left to fillers.
-            RunKind::Plain => [packed, 0, 0],
+            // Plain tasks are packed on workers that are in use, which leaves other workers to
+            // fillers.
+            RunKind::Plain => [packing, 0, 0],
         };
-        let is_near = !step.data_rack.is_empty() && self.rack == step.data_rack;
-        Some(Preference { is_near, rank })
+        let is_in_data_rack = !step.data_rack.is_empty() && self.rack == step.data_rack;
+        Some(Preference { is_in_data_rack, rank })
     }
 
-    pub(super) fn take(&mut self, demand: &TaskDemand<'_>, contention: &ContentionModel) {
+    pub(super) fn reserve(&mut self, demand: &TaskDemand<'_>, contention: &ContentionModel) {
         self.free = subtract(self.free, demand.reservation);
         match demand.run_kind {
             RunKind::Filler { image, millicores } => {
                 self.filler_millicores += millicores;
-                self.change_fillers(image, self.cores(millicores), contention);
+                self.add_filler_load(image, self.cores(millicores), contention);
             }
             RunKind::Serving { image, .. } => {
-                let taken_percent = contention.used_percent(image, &self.fillers);
-                let served = self.served_of(image);
+                let used_percent = contention.used_percent(image, &self.fillers);
+                let served = self.served_image_mut(image);
                 served.idle_headroom_percent =
-                    served.idle_headroom_percent.min(UNSEEN_REST_PERCENT);
-                served.used_percent = taken_percent;
+                    served.idle_headroom_percent.min(NEW_TASK_HEADROOM_PERCENT);
+                served.used_percent = used_percent;
                 served.millicores += demand.step.need.cpu_millicores;
             }
             RunKind::Plain => (),
         }
     }
 
-    /// Takes back a placement of a gang that did not fit whole.
-    pub(super) fn give_back(&mut self, demand: &TaskDemand<'_>, contention: &ContentionModel) {
+    /// Releases the capacity of a member of a gang that could not be placed whole.
+    pub(super) fn release(&mut self, demand: &TaskDemand<'_>, contention: &ContentionModel) {
         self.free = add(self.free, demand.reservation);
         if let RunKind::Filler { image, millicores } = demand.run_kind {
             self.filler_millicores -= millicores;
-            self.change_fillers(image, -self.cores(millicores), contention);
+            self.add_filler_load(image, -self.cores(millicores), contention);
         }
     }
 
-    fn change_fillers(&mut self, image: ImageKey, cores: f64, contention: &ContentionModel) {
-        self.note_filler(image, cores);
+    fn add_filler_load(&mut self, image: ImageKey, cores: f64, contention: &ContentionModel) {
+        self.add_filler_cores(image, cores);
         for it in &mut self.served {
             it.used_percent += contention.cost_percent(it.image, image) * cores;
         }
     }
 
-    /// Returns what a core of each image of fillers here takes from each image that serves.
+    /// Returns the headroom that one core of each filler image here uses of each image that serves
+    /// here.
     pub(super) fn costs(&self, contention: &ContentionModel) -> Vec<ImageCost> {
         let core = self.cores(1_000);
         let cost = |serving: ImageKey, filler: ImageKey| ImageCost {
@@ -328,48 +335,47 @@
     }
 }
 
-/// How much a worker is wanted for a task; the largest is chosen.
+/// How well a worker suits a task; the largest is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Preference {
-    is_near: bool,
+    is_in_data_rack: bool,
     rank: [i64; 3],
 }
 
-/// Whether a filler may be placed where it is slow or harms tails.
+/// Whether a filler may be placed where it runs slowly or raises the tail latency of serving tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PlacementMode {
     ProtectLatency,
     AnyWorker,
 }
 
-/// The rooms of all workers in the ledger.
+/// The free capacities of all workers in the ledger.
 #[derive(Debug, Default)]
 pub(super) struct FreeCapacities {
     by_worker: BTreeMap<WorkerId, FreeCapacity>,
-    /// Workers whose runs have changed since their rooms were made.
+    /// Workers whose runs have changed since their entries were built.
     stale: BTreeSet<WorkerId>,
-    read_at_ms: u64,
-    /// How many rooms were looked at so far in walks over all of them.
+    next_refresh_ms: u64,
+    /// Number of entries visited so far in full scans.
     rows_visited: u64,
 }
 
 impl FreeCapacities {
-    /// Returns how many rooms were looked at so far in walks over all of them.
+    /// Returns the number of entries visited so far in full scans.
     pub(super) fn rows_visited(&self) -> u64 {
         self.rows_visited
     }
 
-    /// Counts rooms that a plan looked at.
     pub(super) fn note_visited(&mut self, rows_visited: u64) {
         self.rows_visited += rows_visited;
     }
 
-    /// Takes note of a worker whose runs have changed.
-    pub(super) fn note_changed(&mut self, id: WorkerId) {
+    /// Marks the entry of a worker whose runs have changed for a rebuild.
+    pub(super) fn mark_stale(&mut self, id: WorkerId) {
         self.stale.insert(id);
     }
 
-    /// Returns the room of a worker as the ledger has it.
+    /// Returns the up-to-date free capacity of a worker.
     pub(super) fn get(
         &mut self,
         workflows: &Workflows,
@@ -377,12 +383,12 @@
         id: WorkerId,
     ) -> Option<&FreeCapacity> {
         if self.stale.remove(&id) {
-            self.make(workflows, contention, id);
+            self.rebuild(workflows, contention, id);
         }
         self.by_worker.get(&id)
     }
 
-    /// Brings all rooms up to what the ledger and the reports say.
+    /// Rebuilds the stale entries, and refreshes loads and costs of all entries if that is due.
     pub(super) fn refresh(
         &mut self,
         workflows: &Workflows,
@@ -390,16 +396,16 @@
         now: Now,
     ) {
         for id in std::mem::take(&mut self.stale) {
-            self.make(workflows, contention, id);
+            self.rebuild(workflows, contention, id);
         }
-        if self.read_at_ms <= now.mono_ms {
-            self.read_at_ms = now.mono_ms + READ_INTERVAL_MS;
+        if self.next_refresh_ms <= now.mono_ms {
+            self.next_refresh_ms = now.mono_ms + REFRESH_INTERVAL_MS;
             self.rows_visited += self.by_worker.len() as u64;
-            self.by_worker.values_mut().for_each(|it| it.read(contention));
+            self.by_worker.values_mut().for_each(|it| it.refresh_loads(contention));
         }
     }
 
-    /// Returns the rooms of the workers that new runs may be placed on.
+    /// Returns the free capacities of the workers on which new runs may be placed.
     pub(super) fn usable(
         &mut self,
         workflows: &Workflows,
@@ -411,34 +417,38 @@
         self.by_worker.values_mut().filter(|it| is_usable(it.id)).collect()
     }
 
-    /// Checks that what is kept is what would be made anew.
+    /// Checks the entries that are not stale against entries built anew.
     ///
     /// # Errors
     ///
-    /// Returns the first room that is not.
+    /// Returns a description of the first entry that differs.
     pub(super) fn audit(
         &self,
         workflows: &Workflows,
         contention: &mut ContentionModel,
     ) -> Result<(), String> {
         for (id, worker) in workflows.workers().iter().filter(|(id, _)| !self.stale.contains(id)) {
-            let made = FreeCapacity::new(workflows, id, worker, contention);
-            let kept = self.by_worker.get(&id).cloned().map(|mut it| {
-                it.read(contention);
+            let expected = FreeCapacity::new(workflows, id, worker, contention);
+            let cached = self.by_worker.get(&id).cloned().map(|mut it| {
+                it.refresh_loads(contention);
                 it
             });
-            if kept.as_ref() != Some(&made) {
-                return Err(format!("worker {id}: {kept:?} is kept for {made:?}"));
+            if cached.as_ref() != Some(&expected) {
+                return Err(format!(
+                    "free capacity of worker {id} is cached as {cached:?}, expected {expected:?}"
+                ));
             }
         }
-        let gone = |id: &&WorkerId| workflows.workers().get(**id).is_none();
-        match self.by_worker.keys().filter(|it| !self.stale.contains(it)).find(gone) {
-            Some(id) => Err(format!("a room is kept of worker {id}, which is gone")),
+        let is_gone = |id: &&WorkerId| workflows.workers().get(**id).is_none();
+        match self.by_worker.keys().filter(|it| !self.stale.contains(it)).find(is_gone) {
+            Some(id) => {
+                Err(format!("free capacity is cached for worker {id}, which is not in the ledger"))
+            }
             None => Ok(()),
         }
     }
 
-    fn make(&mut self, workflows: &Workflows, contention: &mut ContentionModel, id: WorkerId) {
+    fn rebuild(&mut self, workflows: &Workflows, contention: &mut ContentionModel, id: WorkerId) {
         match workflows.workers().get(id) {
             Some(worker) => drop(
                 self.by_worker.insert(id, FreeCapacity::new(workflows, id, worker, contention)),
--- a/src/control/dispatch/mod.rs
+++ b/src/control/dispatch/mod.rs
@@ -1,5 +1,5 @@
-//! What the leader does about workflows: it takes the nodes' reports, grants leases, places runs
-//! and turns what the ledger holds into orders.
+//! The leader's workflow scheduling: processes node reports, grants leases, places runs and derives
+//! the orders for workers from the ledger.
 
 mod capacity;
 mod lost_workers;
@@ -31,42 +31,45 @@
 };
 pub use self::{orders::run_name, plan::PlanOptions, requests::RequestDecision, sessions::Session};
 
-/// How often workflows that ended long ago are forgotten.
+/// Interval at which workflows past their retention time are removed.
 const FORGET_INTERVAL_MS: u64 = 10_000;
 
-/// How often what was learned is handed on: a new leader starts some seconds behind.
+/// Interval at which learned image costs are written to the ledger: a new leader may start with
+/// costs this old.
 const LEARN_INTERVAL_MS: u64 = 3_000;
 
-/// Shortest pause between two plans; what changes meanwhile is planned for together. A commit
-/// takes as long, so that callers hardly wait longer for it.
+/// Minimum interval between two plans; changes within it share a plan. A commit takes about as
+/// long, so this adds little latency for callers.
 const PLAN_PAUSE_MS: u64 = 10;
 
-/// The same for changed loads alone, which matter only to what waits for room or is slow.
-const LOAD_PAUSE_MS: u64 = 100;
+/// Minimum interval between plans if only loads changed, which affects only tasks that wait for
+/// capacity and slow fillers.
+const LOAD_PLAN_PAUSE_MS: u64 = 100;
 
-/// What the dispatcher is told by the settings.
+/// Settings of the dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub struct DispatchOptions {
-    /// Time for which a node may let its worker run without a word from the leader.
+    /// Time for which a node may let its worker run without a grant from the leader.
     pub lease_ms: u64,
-    /// Share by which a worker's clock may be slow, in percent, and the time a call may take.
+    /// Largest rate at which a worker's clock may run slow, in percent.
     pub lease_slack_percent: u64,
+    /// Maximum duration of a call to a worker.
     pub lease_margin_ms: u64,
-    /// Silence after which nothing new is placed on a worker.
+    /// Time without a report after which no new runs are placed on a worker.
     pub silent_ms: u64,
-    /// Time for which the phase of an ended workflow is kept.
+    /// Retention time of the phase of an ended workflow.
     pub retention_ms: u64,
     pub plan: PlanOptions,
 }
 
-/// What a turn of the dispatcher leads to.
+/// Commands to propose and messages to send after one turn of the dispatcher.
 #[derive(Debug, Default)]
 pub struct DispatchOutput {
     pub commands: Vec<WorkflowCommand>,
     pub messages: Vec<(SocketAddr, Message)>,
 }
 
-/// The leader's side of workflows.
+/// The leader's workflow scheduler.
 #[derive(Debug)]
 pub struct Dispatcher {
     options: DispatchOptions,
@@ -77,10 +80,10 @@
     probations: Probations,
     idle_since: plan::IdleSince,
     waiting_steps: plan::WaitingSteps,
-    /// Runs proposed and not yet in the ledger; the next plan waits for them.
+    /// Whether a `Begin` command is proposed and not yet applied; the next plan waits for it.
     begin_in_flight: bool,
-    planned_ms: u64,
-    plan_at_ms: u64,
+    last_plan_ms: u64,
+    next_plan_ms: u64,
     plan_count: u64,
     forget_at_ms: u64,
     clock_readings: ClockReadings,
@@ -90,10 +93,10 @@
 }
 
 impl Dispatcher {
-    /// Takes over from an earlier leader, whose leases may run for their full time.
+    /// Takes over from an earlier leader, whose leases are assumed to run for their full time.
     pub fn new(options: DispatchOptions, workflows: &Workflows, term: u64, now: Now) -> Dispatcher {
         let mut free_capacities = FreeCapacities::default();
-        workflows.workers().iter().for_each(|(id, _)| free_capacities.note_changed(id));
+        workflows.workers().iter().for_each(|(id, _)| free_capacities.mark_stale(id));
         Dispatcher {
             options,
             term,
@@ -104,10 +107,11 @@
             idle_since: plan::IdleSince::default(),
             waiting_steps: plan::WaitingSteps::default(),
             begin_in_flight: false,
-            planned_ms: 0,
+            last_plan_ms: 0,
             plan_count: 0,
-            plan_at_ms: now.mono_ms,
-            // The first reading is made at once: what ended before this leader is kept from now on.
+            next_plan_ms: now.mono_ms,
+            // The first clock reading is taken at once: the retention of workflows that ended under
+            // an earlier leader is counted from it.
             forget_at_ms: now.mono_ms,
             clock_readings: ClockReadings::default(),
             occupancy_at_ms: now.mono_ms + OCCUPANCY_INTERVAL_MS,
@@ -116,35 +120,35 @@
         }
     }
 
-    /// Returns when [`Dispatcher::tick`] has something to do.
+    /// Returns when [`Dispatcher::tick`] is due next.
     pub fn next_tick_ms(&self) -> u64 {
-        // While runs are on their way into the ledger, the plan waits for these.
-        let plan_at_ms = if self.begin_in_flight { u64::MAX } else { self.plan_at_ms };
+        // No plan is made while a `Begin` command is in flight.
+        let next_plan_ms = if self.begin_in_flight { u64::MAX } else { self.next_plan_ms };
         let expiry_ms = self.sessions.next_expiry_ms();
-        plan_at_ms.min(expiry_ms).min(self.forget_at_ms).min(self.learn_at_ms)
+        next_plan_ms.min(expiry_ms).min(self.forget_at_ms).min(self.learn_at_ms)
     }
 
-    /// Returns how many plans were made so far.
     pub fn plan_count(&self) -> u64 {
         self.plan_count
     }
 
-    /// Returns how many sessions and rooms were looked at so far in walks over all of them: what
-    /// grows with the fleet for each event.
+    /// Returns the number of sessions and free capacities visited so far in full scans: the work
+    /// per event that grows with the fleet.
     pub fn rows_visited(&self) -> u64 {
         self.sessions.rows_visited() + self.free_capacities.rows_visited()
     }
 
-    /// Checks that the rooms kept are those that the ledger gives, by a walk over all workers.
+    /// Checks the cached free capacities of all workers against the ledger.
     ///
     /// # Errors
     ///
-    /// Returns what differs.
+    /// Returns a description of the first mismatch.
     pub fn audit(&mut self, workflows: &Workflows) -> Result<(), String> {
         self.free_capacities.audit(workflows, &mut self.contention)
     }
 
-    /// Lets time pass: leases expire, and occurrences become due.
+    /// Runs the periodic work: expires leases, removes old workflows, and writes learned costs and
+    /// the occupancy log line.
     pub fn tick(&mut self, workflows: &Workflows, now: Now) {
         self.expire(workflows, now);
         if self.forget_at_ms <= now.mono_ms {
@@ -156,11 +160,11 @@
         }
         if self.learn_at_ms <= now.mono_ms {
             self.learn_at_ms = now.mono_ms + LEARN_INTERVAL_MS;
-            let known = self.contention.known_costs();
-            if known != workflows.image_costs() {
-                self.output.commands.push(WorkflowCommand::Learn(known));
+            let known_costs = self.contention.known_costs();
+            if known_costs != workflows.image_costs() {
+                self.output.commands.push(WorkflowCommand::Learn(known_costs));
             }
-            self.settle_lost(workflows, now);
+            self.settle_failures_of_lost(workflows, now);
         }
         if self.occupancy_at_ms <= now.mono_ms {
             self.occupancy_at_ms = now.mono_ms + OCCUPANCY_INTERVAL_MS;
@@ -168,14 +172,14 @@
         }
     }
 
-    /// Plans if that is due, and returns what is to be proposed and sent.
+    /// Plans if a plan is due, and returns the commands to propose and the messages to send.
     pub fn finish_turn(
         &mut self,
         workflows: &Workflows,
         members: &[SocketAddr],
         now: Now,
     ) -> DispatchOutput {
-        if self.plan_at_ms <= now.mono_ms && !self.begin_in_flight {
+        if self.next_plan_ms <= now.mono_ms && !self.begin_in_flight {
             self.plan(workflows, members, now);
         }
         std::mem::take(&mut self.output)
@@ -183,34 +187,34 @@
 
     fn plan(&mut self, workflows: &Workflows, members: &[SocketAddr], now: Now) {
         self.plan_count += 1;
-        self.planned_ms = now.mono_ms;
-        self.plan_at_ms = now.mono_ms + self.options.plan.interval_ms;
-        let basis = plan::PlanInput {
+        self.last_plan_ms = now.mono_ms;
+        self.next_plan_ms = now.mono_ms + self.options.plan.interval_ms;
+        let input = plan::PlanInput {
             workflows,
             sessions: &self.sessions,
             free_capacities: &mut self.free_capacities,
             contention: &mut self.contention,
-            probations: self.probations.under_way(now),
+            probations: self.probations.active(now),
             usability: UsabilityCriteria {
                 term: self.term,
                 silent_ms: self.options.silent_ms,
                 now,
             },
         };
-        let plan = plan::plan(basis, &mut self.idle_since, &mut self.waiting_steps);
+        let plan = plan::plan(input, &mut self.idle_since, &mut self.waiting_steps);
         if !plan.runs.is_empty() {
             self.begin_in_flight = true;
             self.output.commands.push(WorkflowCommand::Begin(plan.runs));
         }
-        self.evict(workflows, &plan.moves, members);
+        self.evict_fillers(workflows, &plan.moves, members);
     }
 
-    /// Asks for a plan, `pause_ms` after the last one at the earliest.
-    fn want_plan(&mut self, pause_ms: u64) {
-        self.plan_at_ms = self.plan_at_ms.min(self.planned_ms + pause_ms);
+    /// Schedules a plan for `pause_ms` after the last one, unless one is due earlier.
+    fn schedule_plan(&mut self, pause_ms: u64) {
+        self.next_plan_ms = self.next_plan_ms.min(self.last_plan_ms + pause_ms);
     }
 
-    /// Takes in a command that the ledger has just applied.
+    /// Handles a command that the ledger has just applied.
     pub fn note_applied(
         &mut self,
         workflows: &Workflows,
@@ -222,15 +226,15 @@
             WorkflowCommand::Begin(runs) => {
                 self.begin_in_flight = false;
                 let workers: BTreeSet<_> = runs.iter().map(|it| it.worker).collect();
-                self.probations.note_begun(workflows, runs, now);
+                self.probations.note_begin(workflows, runs, now);
                 for it in workers {
-                    self.free_capacities.note_changed(it);
+                    self.free_capacities.mark_stale(it);
                     self.send_orders(workflows, it, members);
                 }
             }
             WorkflowCommand::Enrol(it) => {
-                let replaced = self.sessions.drop_beside(it.node, workflows);
-                replaced.into_iter().for_each(|id| self.free_capacities.note_changed(id));
+                let replaced = self.sessions.drop_gone_at_node(it.node, workflows);
+                replaced.into_iter().for_each(|id| self.free_capacities.mark_stale(id));
                 if let Some(id) = workflows.workers().find(it.node, &it.name) {
                     tracing::info!(event = "worker_enrolled", worker = %it.name, id = %id, node = %it.node, service = %it.service, kind = %it.kind, rack = %it.rack);
                     self.sessions.open(
@@ -239,14 +243,15 @@
                         now.mono_ms + self.options.lease_with_margin_ms(),
                     );
                     self.probations.note_enrolled(id, now);
-                    self.free_capacities.note_changed(id);
-                    // Its token lets the node read the lists that everything else waits for.
+                    self.free_capacities.mark_stale(id);
+                    // The grant's token lets the node list the worker's tasks, which orders
+                    // require.
                     self.send_orders(workflows, id, members);
                 }
-                self.want_plan(PLAN_PAUSE_MS);
+                self.schedule_plan(PLAN_PAUSE_MS);
             }
             WorkflowCommand::Finish(it) => {
-                self.free_capacities.note_changed(it.worker);
+                self.free_capacities.mark_stale(it.worker);
                 self.settle_failures(workflows, it.worker);
                 self.send_grant(workflows, it.worker, members, now);
                 let ended = it.ends.iter().map(|it| it.run);
@@ -257,48 +262,48 @@
                 {
                     self.send_orders(workflows, it, members);
                 }
-                self.want_plan(PLAN_PAUSE_MS);
+                self.schedule_plan(PLAN_PAUSE_MS);
             }
             WorkflowCommand::Void(it) => {
-                self.free_capacities.note_changed(it.worker);
-                self.want_plan(PLAN_PAUSE_MS);
+                self.free_capacities.mark_stale(it.worker);
+                self.schedule_plan(PLAN_PAUSE_MS);
             }
             WorkflowCommand::Dismiss(id) => {
                 self.sessions.drop(*id);
-                self.free_capacities.note_changed(*id);
-                self.want_plan(PLAN_PAUSE_MS);
+                self.free_capacities.mark_stale(*id);
+                self.schedule_plan(PLAN_PAUSE_MS);
             }
             WorkflowCommand::Resize(it) => {
-                self.free_capacities.note_changed(it.worker);
-                self.want_plan(PLAN_PAUSE_MS);
+                self.free_capacities.mark_stale(it.worker);
+                self.schedule_plan(PLAN_PAUSE_MS);
             }
             WorkflowCommand::Settle(it) => {
                 for it in workflows.workers_with_redundant_runs(it.counted.iter().copied()) {
                     self.send_orders(workflows, it, members);
                 }
-                self.want_plan(PLAN_PAUSE_MS);
+                self.schedule_plan(PLAN_PAUSE_MS);
             }
             WorkflowCommand::Cancel(id) => self.stop_cancelled(workflows, *id, members),
             WorkflowCommand::Evacuate(it) => {
                 self.withdraw_starts(workflows, &it.zone, members);
-                self.want_plan(PLAN_PAUSE_MS);
+                self.schedule_plan(PLAN_PAUSE_MS);
             }
             WorkflowCommand::Submit(_) | WorkflowCommand::Install(_) => {
-                self.want_plan(PLAN_PAUSE_MS)
+                self.schedule_plan(PLAN_PAUSE_MS)
             }
             WorkflowCommand::Forget(_) | WorkflowCommand::Learn(_) => (),
         }
     }
 
-    /// Learns that runs proposed did not come into the ledger.
+    /// Handles the rejection of a proposed `Begin` command.
     pub fn note_begin_rejected(&mut self) {
         self.begin_in_flight = false;
-        self.want_plan(PLAN_PAUSE_MS);
+        self.schedule_plan(PLAN_PAUSE_MS);
     }
 
-    /// Takes in what a worker runs: how far each run is, what stands still or is slow, and what
-    /// fillers do to the tasks that serve beside them.
-    fn take_running(&mut self, workflows: &Workflows, id: WorkerId, now: Now) {
+    /// Evaluates the runs that a worker reports: progress, stalls, slow fillers, and the contention
+    /// between fillers and serving tasks.
+    fn observe_running(&mut self, workflows: &Workflows, id: WorkerId, now: Now) {
         let Some(session) = self.sessions.get_mut(id) else { return };
         let Some(report) = &session.report else { return };
         let capacity_millicores = report.capacity.cpu_millicores;
@@ -329,7 +334,7 @@
                 Some(RunKind::Filler { image, .. }) => {
                     fillers.push(FillerLoad { image, cores: cores(task.load) });
                 }
-                // A task that has just begun has no tail yet.
+                // A task that has just started has no tail latency yet.
                 Some(RunKind::Serving { image, target_ms }) if 0 < task.load => {
                     let headroom_percent = headroom_percent(task.load, target_ms);
                     serving.push(ServingTask { run: task.run, image, headroom_percent });
@@ -345,14 +350,14 @@
             session.ever_listed_runs.extend(report.running.iter().map(|it| it.run));
             session.ever_listed_runs.retain(|it| worker.runs.contains(it));
         }
-        let number = session.report_number;
-        session.monitored_runs.retain(|_, it| it.last_report_number == number);
-        self.sessions.note_slow(id);
+        let report_number = session.report_number;
+        session.monitored_runs.retain(|_, it| it.last_report_number == report_number);
+        self.sessions.update_slow(id);
         self.contention.observe(&serving, &fillers, now.mono_ms);
     }
 
-    /// Tells workers to stop fillers that are to go on elsewhere.
-    fn evict(&mut self, workflows: &Workflows, moves: &[SlowRun], members: &[SocketAddr]) {
+    /// Orders workers to stop the fillers that are to move to other workers.
+    fn evict_fillers(&mut self, workflows: &Workflows, moves: &[SlowRun], members: &[SocketAddr]) {
         let mut workers = BTreeSet::new();
         for it in moves {
             let Some(session) = self.sessions.get_mut(it.worker) else { continue };
@@ -368,7 +373,7 @@
         }
     }
 
-    /// Dismisses workers whose lease is over: what ran there has been killed by now.
+    /// Marks workers with expired leases as lost: their runs have been killed by now.
     fn expire(&mut self, workflows: &Workflows, now: Now) {
         for id in self.sessions.take_expired(now.mono_ms) {
             self.mark_lost(workflows, id, LossCause::LeaseExpired, now);
@@ -377,23 +382,22 @@
 }
 
 impl DispatchOptions {
-    /// Returns how long a lease granted now may last by the slowest clock allowed.
+    /// Returns the maximum duration of a lease granted now, by the slowest clock allowed.
     pub fn lease_with_margin_ms(&self) -> u64 {
         self.lease_ms + self.lease_ms * self.lease_slack_percent / 100 + self.lease_margin_ms
     }
 }
 
-/// Interval of the line on how full the workers are.
 const OCCUPANCY_INTERVAL_MS: u64 = 5_000;
 
-/// Writes how full the workers are.
+/// Logs the capacity of all workers, and how much of it is reserved.
 fn log_occupancy(workflows: &Workflows) {
     let workers = || workflows.workers().iter().map(|(_, it)| it);
-    let cores = |of: fn(&crate::control::state::Worker) -> u32| -> u64 {
-        workers().map(|it| u64::from(of(it))).sum::<u64>() / 1_000
+    let cores = |amount_of: fn(&crate::control::state::Worker) -> u32| -> u64 {
+        workers().map(|it| u64::from(amount_of(it))).sum::<u64>() / 1_000
     };
-    let memory_gib = |of: fn(&crate::control::state::Worker) -> u32| -> u64 {
-        workers().map(|it| u64::from(of(it))).sum::<u64>() / 1_024
+    let memory_gib = |amount_of: fn(&crate::control::state::Worker) -> u32| -> u64 {
+        workers().map(|it| u64::from(amount_of(it))).sum::<u64>() / 1_024
     };
     tracing::info!(
         event = "occupancy",
--- a/src/control/dispatch/orders.rs
+++ b/src/control/dispatch/orders.rs
@@ -1,4 +1,4 @@
-//! Reports taken in, leases granted, and the orders that follow from the ledger.
+//! Processes node reports, grants leases, and derives orders from the ledger.
 
 use std::{
     collections::{BTreeSet, HashSet},
@@ -8,7 +8,8 @@
 use crate::{
     control::{
         dispatch::{
-            Dispatcher, LOAD_PAUSE_MS, PLAN_PAUSE_MS, lost_workers::LossCause, sessions::Session,
+            Dispatcher, LOAD_PLAN_PAUSE_MS, PLAN_PAUSE_MS, lost_workers::LossCause,
+            sessions::Session,
         },
         state::{NO_RESOURCES, Worker, Workflows, fits},
     },
@@ -17,7 +18,7 @@
 };
 
 impl Dispatcher {
-    /// Takes in a node's report and answers it.
+    /// Handles a node's report and answers it.
     pub fn on_report(
         &mut self,
         workflows: &Workflows,
@@ -29,76 +30,76 @@
             tracing::info!(event = "report_ignored", node = %report.node, number = report.number);
             return;
         }
-        let Some(seen) = report.workers.into_iter().next() else {
+        let Some(worker_report) = report.workers.into_iter().next() else {
             return self.send_empty_grant(workflows, report.node, report.number, members);
         };
-        let Some(id) = workflows.workers().find(report.node, &seen.name) else {
-            match workflows.is_unconfigured_service(&seen.service) {
-                _ if seen.gone => (),
+        let Some(id) = workflows.workers().find(report.node, &worker_report.name) else {
+            match workflows.is_unconfigured_service(&worker_report.service) {
+                _ if worker_report.gone => (),
                 true => {
-                    tracing::debug!(event = "worker_foreign", worker = %seen.name, node = %report.node, service = %seen.service);
+                    tracing::debug!(event = "worker_foreign", worker = %worker_report.name, node = %report.node, service = %worker_report.service);
                 }
-                false if self.may_be_lifetime_before(workflows, report.node, &seen.name) => (),
+                false if self.is_enrolled_by_id(workflows, report.node, &worker_report.name) => (),
                 false => {
                     self.mark_replaced_lost(workflows, report.node, now);
                     self.output
                         .commands
-                        .push(WorkflowCommand::Enrol(enrolment(report.node, &seen)));
+                        .push(WorkflowCommand::Enrol(enrolment(report.node, &worker_report)));
                 }
             }
             return self.send_empty_grant(workflows, report.node, report.number, members);
         };
         let Some(session) = self.sessions.get_mut(id) else { return };
         if session.is_being_dismissed {
-            // Too late to renew anything.
+            // The lease can no longer be renewed.
             return;
         }
-        let before = session.report.as_ref().map(|it| (it.draining, it.term));
-        let is_other_node = session.boot != report.boot;
+        let previous = session.report.as_ref().map(|it| (it.draining, it.term));
+        let is_new_boot = session.boot != report.boot;
         session.boot = report.boot;
         session.report_number = report.number;
         session.report_sent_ms = report.sent_ms;
         session.last_report_ms = now.mono_ms;
-        if is_other_node {
+        if is_new_boot {
             session.sent_costs.clear();
         }
-        if seen.draining && !before.is_some_and(|(draining, _)| draining) {
-            tracing::info!(event = "worker_draining", worker = %seen.name, node = %report.node, remaining_ms = seen.remaining_ms);
+        if worker_report.draining && !previous.is_some_and(|(draining, _)| draining) {
+            tracing::info!(event = "worker_draining", worker = %worker_report.name, node = %report.node, remaining_ms = worker_report.remaining_ms);
         }
-        let (is_gone, is_leaving) = (seen.gone, seen.draining);
-        let capacity = seen.capacity;
-        let is_as_before = before == Some((seen.draining, seen.term));
-        session.report = Some(seen);
-        // Loads alone change what fits only for what waits for room or is slow.
-        self.want_plan(if is_as_before { LOAD_PAUSE_MS } else { PLAN_PAUSE_MS });
-        self.take_capacity(workflows, id, capacity);
-        self.take_running(workflows, id, now);
-        let has_ends = self.take_ends(workflows, id, now);
+        let (is_gone, is_leaving) = (worker_report.gone, worker_report.draining);
+        let capacity = worker_report.capacity;
+        let is_state_unchanged = previous == Some((worker_report.draining, worker_report.term));
+        session.report = Some(worker_report);
+        // Changed loads alone affect only tasks that wait for capacity and slow fillers.
+        self.schedule_plan(if is_state_unchanged { LOAD_PLAN_PAUSE_MS } else { PLAN_PAUSE_MS });
+        self.propose_resize(workflows, id, capacity);
+        self.observe_running(workflows, id, now);
+        let has_ends = self.propose_ends(workflows, id, now);
         self.settle_failures(workflows, id);
-        self.take_refusals(workflows, id);
+        self.propose_voids(workflows, id);
         if is_gone {
             let loss = if is_leaving { LossCause::Left } else { LossCause::Crashed };
             return self.mark_lost(workflows, id, loss, now);
         }
-        // Ends are answered once they are in the ledger, a commit later: one answer in place of
-        // two. If that takes long, the next report is answered at once.
+        // A report with new ends is answered when the ledger has applied them, one commit later,
+        // which saves an answer. If the commit takes long, the next report is answered at once.
         if !has_ends {
             self.send_grant(workflows, id, members, now);
         }
     }
 
-    /// Returns whether a lifetime may be one that an earlier version enrolled by its id alone, so that
-    /// what runs there is known only once that one's lease is over.
-    fn may_be_lifetime_before(&self, workflows: &Workflows, node: SocketAddr, name: &str) -> bool {
+    /// Returns whether an earlier version has enrolled a worker incarnation by its id alone. What
+    /// runs there is then known only when that enrolment's lease has expired.
+    fn is_enrolled_by_id(&self, workflows: &Workflows, node: SocketAddr, name: &str) -> bool {
         let Some(id) = id_of_incarnation(name) else { return false };
         workflows.workers().find(node, id).is_some()
     }
 
-    /// Proposes what a worker now has, where that differs from the ledger.
+    /// Proposes a worker's reported capacity where it differs from the ledger.
     ///
-    /// A worker that has shrunk below what runs there goes on with it and gets nothing until that
-    /// fits: what runs ends in time to come, and to stop it would throw its work away.
-    fn take_capacity(&mut self, workflows: &Workflows, id: WorkerId, capacity: Resources) {
+    /// A worker whose capacity falls below its reservations keeps its runs, since to stop them
+    /// would waste their work, and gets no new runs until enough of them have ended.
+    fn propose_resize(&mut self, workflows: &Workflows, id: WorkerId, capacity: Resources) {
         let Some(worker) = workflows.workers().get(id) else { return };
         if worker.capacity != capacity {
             self.output
@@ -107,32 +108,32 @@
         }
     }
 
-    /// Proposes the ends that the ledger does not hold yet; returns whether there are any.
-    fn take_ends(&mut self, workflows: &Workflows, id: WorkerId, now: Now) -> bool {
+    /// Proposes the reported ends that were not proposed before; returns whether there are any.
+    fn propose_ends(&mut self, workflows: &Workflows, id: WorkerId, now: Now) -> bool {
         let Some(worker) = workflows.workers().get(id) else { return false };
         let Some(session) = self.sessions.get_mut(id) else { return false };
         let Some(report) = &session.report else { return false };
-        let from = session.proposed_cursor.max(worker.cursor);
-        let fresh = report.ended.iter().filter(|it| from < it.cursor);
-        let Some(cursor) = fresh.clone().map(|it| it.cursor).max() else { return false };
-        let ends: Vec<_> = fresh.map(|it| it.end.clone()).collect();
+        let known_cursor = session.proposed_cursor.max(worker.cursor);
+        let new_ends = report.ended.iter().filter(|it| known_cursor < it.cursor);
+        let Some(cursor) = new_ends.clone().map(|it| it.cursor).max() else { return false };
+        let ends: Vec<_> = new_ends.map(|it| it.end.clone()).collect();
         session.proposed_cursor = cursor;
-        // Ends from before the worker was given up say nothing of it now.
-        let held = ends.iter().filter(|it| workflows.has_run(id, it.run));
-        held.for_each(|it| judge_worker(session, worker, it, now));
+        // Ends of runs that the worker no longer holds say nothing about its present health.
+        let known = ends.iter().filter(|it| workflows.has_run(id, it.run));
+        known.for_each(|it| update_health(session, worker, it, now));
         self.output.commands.push(WorkflowCommand::Finish(FinishRuns { worker: id, cursor, ends }));
         true
     }
 
-    /// Proposes what becomes of failures of which the worker has heard, or never will.
+    /// Proposes to settle the failures on a worker, by the failures that its report acknowledges.
     pub(super) fn settle_failures(&mut self, workflows: &Workflows, id: WorkerId) {
         let Some(report) = self.sessions.get(id).and_then(|it| it.report.as_ref()) else { return };
         let settled = workflows.failures_to_settle(id, report.noted);
         self.output.commands.extend(settled.map(WorkflowCommand::Settle));
     }
 
-    /// Proposes to take back the runs that the worker will never begin.
-    fn take_refusals(&mut self, workflows: &Workflows, id: WorkerId) {
+    /// Proposes to void the runs that the worker has refused to begin.
+    fn propose_voids(&mut self, workflows: &Workflows, id: WorkerId) {
         let Some(worker) = workflows.workers().get(id) else { return };
         let Some(report) = self.sessions.get(id).and_then(|it| it.report.as_ref()) else { return };
         let refused = report.refused.iter().filter(|it| worker.runs.contains(&it.run));
@@ -145,8 +146,9 @@
         }
     }
 
-    /// Answers a node whose worker is not known, with a token for looks at it: a lifetime that has
-    /// seen a token tells what it is to none below. One that is enrolled must not be fenced by it.
+    /// Answers a node whose worker is not enrolled with a token for queries to it: a worker
+    /// incarnation that has seen a token rejects queries with lower ones. The token must not fence
+    /// an enrolled worker at the same node.
     fn send_empty_grant(
         &mut self,
         workflows: &Workflows,
@@ -154,14 +156,14 @@
         number: u64,
         members: &[SocketAddr],
     ) {
-        let beside = workflows.workers().ids_at_node(node);
-        let known = beside.into_iter().max().unwrap_or(workflows.workers().last_id());
+        let ids = workflows.workers().ids_at_node(node);
+        let last_id = ids.into_iter().max().unwrap_or(workflows.workers().last_id());
         let grant = NodeGrant {
             number,
             sequence: 0,
             sent_ms: 0,
             term: self.term,
-            token: token(self.term, known),
+            token: token(self.term, last_id),
             is_complete: false,
             lease_ms: 0,
             worker: CompactString::default(),
@@ -175,7 +177,8 @@
         self.output.messages.push((node, Message::NodeGrant(grant)));
     }
 
-    /// Renews a worker's lease, counted from the sending of its newest report, with all orders.
+    /// Sends all orders for a worker and renews its lease, counted from when its newest report was
+    /// sent.
     pub(super) fn send_grant(
         &mut self,
         workflows: &Workflows,
@@ -213,17 +216,18 @@
     ) {
         let Some(worker) = workflows.workers().get(id) else { return };
         let Some(session) = self.sessions.get(id) else { return };
-        let listed = session.report.as_ref().filter(|it| it.term == self.term);
-        // Without a list of this term it is not known yet what runs there.
-        let orders =
-            listed.map(|it| orders_for(workflows, id, worker, it, session)).unwrap_or_default();
+        let current_report = session.report.as_ref().filter(|it| it.term == self.term);
+        // Without a report of this term the worker's runs are not known yet.
+        let orders = current_report
+            .map(|it| orders_for(workflows, id, worker, it, session))
+            .unwrap_or_default();
         let mut grant = NodeGrant {
             number: session.report_number,
             sequence: session.grants_sent + 1,
             sent_ms,
             term: self.term,
             token: token(self.term, id),
-            is_complete: listed.is_some(),
+            is_complete: current_report.is_some(),
             lease_ms: self.options.lease_ms,
             worker: worker.name.clone(),
             capacity: worker.capacity,
@@ -242,8 +246,8 @@
             .get(workflows, &mut self.contention, id)
             .map(|it| it.costs(&self.contention));
         if let (Some(costs), Some(session)) = (costs, self.sessions.get_mut(id))
-            && (session.costs_sent_ms + TOLD_AGAIN_MS <= session.last_report_ms
-                || differ(&costs, &session.sent_costs))
+            && (session.costs_sent_ms + COSTS_RESEND_INTERVAL_MS <= session.last_report_ms
+                || costs_differ(&costs, &session.sent_costs))
         {
             session.sent_costs = costs.clone();
             session.costs_sent_ms = session.last_report_ms;
@@ -252,7 +256,8 @@
         self.output.messages.push((node, Message::NodeGrant(grant)));
     }
 
-    /// Tells the workers of a zone at once that what they have not begun is not to begin.
+    /// Sends orders to the workers of an evacuated zone at once, to withdraw starts not yet carried
+    /// out.
     pub(super) fn withdraw_starts(
         &mut self,
         workflows: &Workflows,
@@ -265,7 +270,7 @@
         }
     }
 
-    /// Tells the workers of a cancelled workflow at once.
+    /// Sends orders to the workers of a cancelled workflow at once.
     pub(super) fn stop_cancelled(
         &mut self,
         workflows: &Workflows,
@@ -280,8 +285,8 @@
     }
 }
 
-/// Learns from an end whether a worker can be trusted with more.
-fn judge_worker(session: &mut Session, worker: &Worker, end: &RunEnd, now: Now) {
+/// Updates a worker's health by the end of a run.
+fn update_health(session: &mut Session, worker: &Worker, end: &RunEnd, now: Now) {
     let workflow = end.run.task.workflow;
     match end.outcome {
         RunOutcome::Done => session.health.note_done(),
@@ -292,23 +297,23 @@
     }
 }
 
-/// Least change of a cost, in percent of headroom a core, that a node is told: a tenth of what
-/// alike images differ by.
-const TOLD_CHANGE_PERCENT: f32 = 0.2;
+/// Smallest change of a cost, in percent of headroom per core, that is sent to a node: a tenth of
+/// the difference between similar images.
+const COST_CHANGE_MIN_PERCENT: f32 = 0.2;
 
-/// Interval at which a node is told costs anew, since a link that breaks may lose what it was told.
-const TOLD_AGAIN_MS: u64 = 2_000;
+/// Interval at which unchanged costs are sent again, since a broken link may lose a message.
+const COSTS_RESEND_INTERVAL_MS: u64 = 2_000;
 
-/// Returns whether a node is to be told costs anew.
-fn differ(costs: &[ImageCost], told: &[ImageCost]) -> bool {
+/// Returns whether costs differ enough from those sent last to be sent again.
+fn costs_differ(costs: &[ImageCost], sent: &[ImageCost]) -> bool {
     let is_same = |(a, b): (&ImageCost, &ImageCost)| {
         (a.serving == b.serving && a.filler == b.filler)
-            && (a.headroom_percent - b.headroom_percent).abs() < TOLD_CHANGE_PERCENT
+            && (a.headroom_percent - b.headroom_percent).abs() < COST_CHANGE_MIN_PERCENT
     };
-    costs.len() != told.len() || !costs.iter().zip(told).all(is_same)
+    costs.len() != sent.len() || !costs.iter().zip(sent).all(is_same)
 }
 
-/// Returns the orders that bring what a worker runs to what the ledger holds.
+/// Returns the orders that make a worker's runs match the ledger.
 fn orders_for(
     workflows: &Workflows,
     id: WorkerId,
@@ -317,7 +322,7 @@
     session: &Session,
 ) -> Vec<RunOrder> {
     let ended: HashSet<_> = report.ended.iter().map(|it| it.end.run).collect();
-    // What was placed on a worker that has shrunk since may no longer fit.
+    // Runs placed on a worker whose capacity has shrunk since may no longer fit.
     let may_not_begin = workflows.is_evacuated(id) || !fits(worker.used, worker.capacity);
     let mut res = Vec::new();
     for run in &worker.runs {
@@ -330,21 +335,22 @@
             }
             true => (),
             false if ended.contains(run) => (),
-            // It ran, and its end was not told: it may run unseen, so that it must be barred before
-            // the task begins again.
+            // An earlier report listed the run, and no end was reported. It may still be running,
+            // so its node must block it before the task begins again.
             false if session.ever_listed_runs.contains(run) => res.push(RunOrder::Stop(*run)),
-            // Its node bars it from beginning, and then says that it never will.
+            // The node blocks the run and then reports that it will never begin.
             false if may_not_begin => res.push(RunOrder::Stop(*run)),
             false => res.extend(start_order(workflows, *run).map(RunOrder::Start)),
         }
     }
-    // A run that the ledger has given up must not go on here while it begins elsewhere.
-    let strays = report.running.iter().filter(|it| !worker.runs.contains(&it.run));
-    res.extend(strays.map(|it| RunOrder::Stop(it.run)));
+    // A run that the ledger no longer places here must not continue while its task begins
+    // elsewhere.
+    let unplaced_runs = report.running.iter().filter(|it| !worker.runs.contains(&it.run));
+    res.extend(unplaced_runs.map(|it| RunOrder::Stop(it.run)));
     res
 }
 
-/// Returns the pools of workers that the configuration names; none before there is one.
+/// Returns the worker pools of the configuration, or none if no configuration is installed.
 fn services(workflows: &Workflows) -> Vec<CompactString> {
     workflows.config().map(|it| it.services.clone()).unwrap_or_default()
 }
@@ -373,15 +379,16 @@
     }
 }
 
-/// Bits of a token that count enrolments within a term.
-const ENROLMENT_BITS: u32 = 24;
+/// Number of low bits of a token that hold the worker id.
+const WORKER_ID_BITS: u32 = 24;
 
 /// Returns the token for calls of a worker.
 ///
-/// A later leader fences an earlier one. Within a term, a worker that was given up and enrols
-/// anew gets a higher token, so that a call from before its lease ran out does nothing there.
+/// The term is in the high bits, so a later leader fences an earlier one. Within a term, a worker
+/// that enrols again after its loss gets a higher token, so that calls under its earlier lease are
+/// rejected.
 fn token(term: u64, worker: WorkerId) -> u64 {
-    (term << ENROLMENT_BITS) | (worker.0 & ((1 << ENROLMENT_BITS) - 1))
+    (term << WORKER_ID_BITS) | (worker.0 & ((1 << WORKER_ID_BITS) - 1))
 }
 
 fn enrolment(node: SocketAddr, it: &WorkerReport) -> EnrolWorker {
@@ -396,7 +403,7 @@
     }
 }
 
-/// Returns a run as logs show it: workflow, occurrence, step, index and run number.
+/// Returns the name of a run in logs: workflow, occurrence, step, index and run number.
 pub fn run_name(it: RunRef) -> CompactString {
     let task = it.task;
     format_compact!(
--- a/src/control/dispatch/plan/builder.rs
+++ b/src/control/dispatch/plan/builder.rs
@@ -1,4 +1,4 @@
-//! Tasks of steps put into rooms, one step after the other.
+//! Places the tasks of steps on workers, one step after the other.
 
 use std::{
     cell::Cell,
@@ -18,28 +18,29 @@
     prelude::*,
 };
 
-/// A plan while it is made.
+/// Builds a plan.
 pub(super) struct PlanBuilder<'a, 'r> {
     workflows: &'a Workflows,
     workers: Vec<&'r mut FreeCapacity>,
     contention: &'a mut ContentionModel,
     probations: Probations,
     runs: Vec<RunPlacement>,
-    touched: BTreeSet<WorkerId>,
-    /// Needs for which no room was left: rooms only shrink while a plan is made, so that whoever
-    /// needs as much need not look again. In overload most of what waits is of few kinds.
+    changed_workers: BTreeSet<WorkerId>,
+    /// Requirements that no worker could meet. Free capacity only shrinks while a plan is built, so
+    /// later steps with equal or larger requirements are skipped. In overload most waiting tasks
+    /// are of few kinds.
     unmet: Vec<Unmet>,
-    /// Rooms that were asked what they offer.
+    /// Number of workers whose offers were computed.
     rows_visited: Cell<u64>,
 }
 
-/// A need for which no room was left.
+/// Requirements that no worker could meet.
 #[derive(Clone, Debug, PartialEq)]
 struct Unmet {
     service: CompactString,
     label: CompactString,
     filler: Option<ImageKey>,
-    reserve: Resources,
+    reservation: Resources,
     filler_millicores: u32,
 }
 
@@ -53,20 +54,20 @@
             service: demand.queue.service.clone(),
             label: demand.step.required_label.clone(),
             filler,
-            reserve: demand.reservation,
+            reservation: demand.reservation,
             filler_millicores,
         }
     }
 
-    /// Returns whether what finds no room for this finds none for `other`.
+    /// Returns whether no worker can meet `other` either, since it requires at least as much.
     fn rules_out(&self, other: &Unmet) -> bool {
         self.filler == other.filler
             && self.service == other.service
             && (self.label.is_empty() || self.label == other.label)
             && self.filler_millicores <= other.filler_millicores
-            && self.reserve.cpu_millicores <= other.reserve.cpu_millicores
-            && self.reserve.memory_mib <= other.reserve.memory_mib
-            && self.reserve.accelerators <= other.reserve.accelerators
+            && self.reservation.cpu_millicores <= other.reservation.cpu_millicores
+            && self.reservation.memory_mib <= other.reservation.memory_mib
+            && self.reservation.accelerators <= other.reservation.accelerators
     }
 }
 
@@ -77,14 +78,14 @@
         contention: &'a mut ContentionModel,
         probations: Probations,
     ) -> PlanBuilder<'a, 'r> {
-        let (runs, touched, unmet) = (Vec::new(), BTreeSet::new(), Vec::new());
+        let (runs, changed_workers, unmet) = (Vec::new(), BTreeSet::new(), Vec::new());
         PlanBuilder {
             workflows,
             workers,
             contention,
             probations,
             runs,
-            touched,
+            changed_workers,
             unmet,
             rows_visited: Cell::new(0),
         }
@@ -102,7 +103,7 @@
         &self.probations
     }
 
-    /// Returns how many rooms were asked what they offer.
+    /// Returns the number of workers whose offers were computed.
     pub(super) fn rows_visited(&self) -> u64 {
         self.rows_visited.get()
     }
@@ -111,19 +112,20 @@
         &self.runs
     }
 
-    /// Returns the runs to begin, and the workers whose rooms no longer match the ledger.
+    /// Returns the runs to begin, and the workers whose free capacity no longer matches the ledger.
     pub(super) fn finish(self) -> (Vec<RunPlacement>, BTreeSet<WorkerId>) {
-        (self.runs, self.touched)
+        (self.runs, self.changed_workers)
     }
 
-    /// Places the tasks of a step that wait, as far as there is room.
-    pub(super) fn place(&mut self, at: StepRef, workflow: &Workflow, mode: PlacementMode) {
+    /// Places the waiting tasks of a step as far as free capacity allows.
+    pub(super) fn place(&mut self, step_ref: StepRef, workflow: &Workflow, mode: PlacementMode) {
         let Some(queue) = self.workflows.queue(&workflow.queue) else { return };
-        let Some(step) = workflow.spec.steps.get(at.step as usize) else { return };
-        let Some(state) = state_of(workflow, at) else { return };
+        let Some(step) = workflow.spec.steps.get(step_ref.step as usize) else { return };
+        let Some(state) = state_of(workflow, step_ref) else { return };
         let demand = TaskDemand::new(step, queue, self.contention);
-        let need = Unmet::new(&demand);
-        if mode == PlacementMode::ProtectLatency && self.unmet.iter().any(|it| it.rules_out(&need))
+        let requirements = Unmet::new(&demand);
+        if mode == PlacementMode::ProtectLatency
+            && self.unmet.iter().any(|it| it.rules_out(&requirements))
         {
             return;
         }
@@ -133,24 +135,24 @@
             .enumerate()
             .filter(|(_, it)| !it.is_done && it.runs.is_empty())
             .map(|(index, it)| (index as u32, it.last_run + 1))
-            .filter(|(index, _)| self.may_begin(task_of(at, *index)))
+            .filter(|(index, _)| self.may_begin(task_of(step_ref, *index)))
             .collect();
         match step.gang {
-            // Members of an earlier run are still ending.
+            // Members of an earlier run of the gang have not ended yet.
             true if waiting.len() < state.tasks.len() => (),
-            true => self.place_gang(at, &demand, state, &waiting, mode),
+            true => self.place_gang(step_ref, &demand, state, &waiting, mode),
             false => {
-                // One that runs is enough not to be idle.
-                let most = if mode == PlacementMode::AnyWorker { 1 } else { usize::MAX };
-                let most = most.min(waiting.len());
-                let Parted { tried, free } = self.split(at, &waiting[..most]);
-                self.place_tried(at, &demand, state, &tried, mode);
-                let placed = self.place_tasks(at, &demand, state, &free, mode);
-                if placed < free.len()
+                // One running task is enough for the workflow not to be idle.
+                let limit = if mode == PlacementMode::AnyWorker { 1 } else { usize::MAX };
+                let limit = limit.min(waiting.len());
+                let SplitTasks { on_probation, others } = self.split(step_ref, &waiting[..limit]);
+                self.place_on_probation(step_ref, &demand, state, &on_probation, mode);
+                let placed = self.place_tasks(step_ref, &demand, state, &others, mode);
+                if placed < others.len()
                     && mode == PlacementMode::ProtectLatency
                     && step.per_worker_max == 0
                 {
-                    self.unmet.push(need);
+                    self.unmet.push(requirements);
                 }
             }
         }
@@ -159,7 +161,7 @@
     /// Places all members of a gang, or none.
     fn place_gang(
         &mut self,
-        at: StepRef,
+        step_ref: StepRef,
         demand: &TaskDemand<'_>,
         state: &StepState,
         waiting: &[(u32, u32)],
@@ -167,93 +169,97 @@
     ) {
         let run = waiting.iter().map(|(_, run)| *run).max().unwrap_or(1);
         let members: Vec<_> = waiting.iter().map(|(index, _)| (*index, run)).collect();
-        let from = self.runs.len();
+        let first_run = self.runs.len();
         let probations = self.probations.clone();
-        let Parted { tried, free } = self.split(at, &members);
-        let is_placed = self.place_tried(at, demand, state, &tried, mode) == tried.len()
-            && self.place_tasks(at, demand, state, &free, mode) == free.len();
+        let SplitTasks { on_probation, others } = self.split(step_ref, &members);
+        let is_placed = self.place_on_probation(step_ref, demand, state, &on_probation, mode)
+            == on_probation.len()
+            && self.place_tasks(step_ref, demand, state, &others, mode) == others.len();
         if is_placed {
             return;
         }
         self.probations = probations;
-        for placed in self.runs.split_off(from) {
-            if let Some(room) = self.workers.iter_mut().find(|it| it.id == placed.worker) {
-                room.give_back(demand, self.contention);
+        for placed in self.runs.split_off(first_run) {
+            if let Some(worker) = self.workers.iter_mut().find(|it| it.id == placed.worker) {
+                worker.release(demand, self.contention);
             }
         }
     }
 
-    /// Returns whether a task need not wait for a calm.
+    /// Returns whether a task need not wait for a quiet period.
     pub(super) fn may_begin(&self, task: TaskRef) -> bool {
         self.probations.is_quiet() || !self.workflows.suspects().needs_quiet_period(task)
     }
 
-    /// Parts tasks into those that must be tried and the others.
-    fn split(&self, at: StepRef, tasks: &[(u32, u32)]) -> Parted {
+    /// Separates the tasks that need probation from the others.
+    fn split(&self, step_ref: StepRef, tasks: &[(u32, u32)]) -> SplitTasks {
         let suspects = self.workflows.suspects();
-        let must_be_tried = |(index, _): &(u32, u32)| suspects.needs_probation(task_of(at, *index));
-        let (tried, free) = tasks.iter().copied().partition(must_be_tried);
-        Parted { tried, free }
+        let needs_probation =
+            |(index, _): &(u32, u32)| suspects.needs_probation(task_of(step_ref, *index));
+        let (on_probation, others) = tasks.iter().copied().partition(needs_probation);
+        SplitTasks { on_probation, others }
     }
 
-    /// Places tasks of a workflow that must be tried, on workers with least to lose where nothing
-    /// else begins; returns how many. The others wait until trials under way have ended.
+    /// Places tasks of a workflow that need probation, each on the worker with the fewest runs
+    /// where no other task begins; returns how many. The rest wait until active probations have
+    /// ended.
     ///
-    /// They may share a worker: whichever of them is to blame, their workflow is given up.
-    fn place_tried(
+    /// Tasks of one workflow may share a worker: whichever of them crashes it, the workflow fails.
+    fn place_on_probation(
         &mut self,
-        at: StepRef,
+        step_ref: StepRef,
         demand: &TaskDemand<'_>,
         state: &StepState,
         tasks: &[(u32, u32)],
         mode: PlacementMode,
     ) -> usize {
         let mut counts = counts_of(demand.step, state);
-        let must_wait = self.probations.are_many(self.workers.len());
-        let mut taken: Vec<usize> = Vec::new();
+        let must_wait = self.probations.is_limit_reached(self.workers.len());
+        let mut used_workers: Vec<usize> = Vec::new();
         for (placed, (index, run)) in tasks.iter().enumerate() {
             let count = |it: WorkerId| counts.get(&it).copied().unwrap_or(0);
-            let has_room = |it: &usize| {
-                let room = &self.workers[*it];
-                room.offer(demand, count(room.id), mode, self.contention).is_some()
+            let has_capacity = |it: &usize| {
+                let worker = &self.workers[*it];
+                worker.offer(demand, count(worker.id), mode, self.contention).is_some()
             };
-            let shared = taken.iter().copied().find(has_room);
-            let fresh = || self.least_to_lose(demand, &counts, mode).filter(|_| !must_wait);
-            let Some(best) = shared.or_else(fresh) else { return placed };
+            let shared = used_workers.iter().copied().find(has_capacity);
+            let unused_worker =
+                || self.least_loaded_worker(demand, &counts, mode).filter(|_| !must_wait);
+            let Some(best) = shared.or_else(unused_worker) else { return placed };
             let worker = self.workers[best].id;
-            self.workers[best].take(demand, self.contention);
+            self.workers[best].reserve(demand, self.contention);
             self.probations.begin(worker);
-            taken.push(best);
-            self.touched.insert(worker);
+            used_workers.push(best);
+            self.changed_workers.insert(worker);
             *counts.entry(worker).or_insert(0) += 1;
-            let run = RunRef { task: task_of(at, *index), run: *run };
+            let run = RunRef { task: task_of(step_ref, *index), run: *run };
             self.runs.push(RunPlacement { run, worker });
         }
         tasks.len()
     }
 
-    /// Returns the worker that would take a task and holds the fewest runs; rather one that has been
-    /// there for long.
-    fn least_to_lose(
+    /// Returns the worker with the fewest runs that can take a task; workers that have not enrolled
+    /// recently are preferred.
+    fn least_loaded_worker(
         &self,
         demand: &TaskDemand<'_>,
         counts: &HashMap<WorkerId, u32>,
         mode: PlacementMode,
     ) -> Option<usize> {
-        let loss = |it: &usize| {
+        let load = |it: &usize| {
             let id = self.workers[*it].id;
             let runs = self.workflows.workers().get(id).map(|it| it.runs.len());
             (self.probations.is_recently_enrolled(id), runs, *it)
         };
-        self.offers(demand, counts, mode).into_iter().map(|(_, it)| it).min_by_key(loss)
+        self.offers(demand, counts, mode).into_iter().map(|(_, it)| it).min_by_key(load)
     }
 
-    /// Places tasks, each with its run number, until there is no room; returns how many.
+    /// Places tasks, each with its run number, until no worker can take the next; returns how many.
     ///
-    /// What is placed changes one room only, so the offers of the others stand.
+    /// A placement changes the free capacity of one worker, so the offers of the others stay valid.
     fn place_tasks(
         &mut self,
-        at: StepRef,
+        step_ref: StepRef,
         demand: &TaskDemand<'_>,
         state: &StepState,
         tasks: &[(u32, u32)],
@@ -263,14 +269,14 @@
         let mut offers = self.offers(demand, &counts, mode);
         for (placed, (index, run)) in tasks.iter().enumerate() {
             let Some((_, best)) = offers.pop() else { return placed };
-            let room = &mut self.workers[best];
-            room.take(demand, self.contention);
-            self.touched.insert(room.id);
-            let count = counts.entry(room.id).or_insert(0);
+            let worker = &mut self.workers[best];
+            worker.reserve(demand, self.contention);
+            self.changed_workers.insert(worker.id);
+            let count = counts.entry(worker.id).or_insert(0);
             *count += 1;
-            let run = RunRef { task: task_of(at, *index), run: *run };
-            self.runs.push(RunPlacement { run, worker: room.id });
-            if let Some(it) = room.offer(demand, *count, mode, self.contention) {
+            let run = RunRef { task: task_of(step_ref, *index), run: *run };
+            self.runs.push(RunPlacement { run, worker: worker.id });
+            if let Some(it) = worker.offer(demand, *count, mode, self.contention) {
                 offers.push((it, best));
             }
         }
@@ -283,36 +289,36 @@
         counts: &HashMap<WorkerId, u32>,
         mode: PlacementMode,
     ) -> BinaryHeap<(Preference, usize)> {
-        let offer = |(at, room): (usize, &&'r mut FreeCapacity)| {
-            if self.probations.contains(room.id) {
+        let offer = |(index, worker): (usize, &&'r mut FreeCapacity)| {
+            if self.probations.contains(worker.id) {
                 return None;
             }
-            let placed = counts.get(&room.id).copied().unwrap_or(0);
-            Some((room.offer(demand, placed, mode, self.contention)?, at))
+            let placed = counts.get(&worker.id).copied().unwrap_or(0);
+            Some((worker.offer(demand, placed, mode, self.contention)?, index))
         };
         self.rows_visited.set(self.rows_visited.get() + self.workers.len() as u64);
         self.workers.iter().enumerate().filter_map(offer).collect()
     }
 
-    /// Returns the best worker for one more task of a step, and the speed that it has there.
+    /// Returns the best worker for one more task of a step, and the speed of the task there.
     pub(super) fn best_for(
         &mut self,
-        at: StepRef,
+        step_ref: StepRef,
         workflow: &'a Workflow,
     ) -> Option<MoveTarget<'a>> {
         let queue = self.workflows.queue(&workflow.queue)?;
-        let state = state_of(workflow, at)?;
-        let step = workflow.spec.steps.get(at.step as usize)?;
+        let state = state_of(workflow, step_ref)?;
+        let step = workflow.spec.steps.get(step_ref.step as usize)?;
         let demand = TaskDemand::new(step, queue, self.contention);
-        let need = Unmet::new(&demand);
-        if self.unmet.iter().any(|it| it.rules_out(&need)) {
+        let requirements = Unmet::new(&demand);
+        if self.unmet.iter().any(|it| it.rules_out(&requirements)) {
             return None;
         }
         let Some((_, worker_index)) =
             self.offers(&demand, &counts_of(step, state), PlacementMode::ProtectLatency).pop()
         else {
             if step.per_worker_max == 0 {
-                self.unmet.push(need);
+                self.unmet.push(requirements);
             }
             return None;
         };
@@ -325,21 +331,21 @@
         Some(MoveTarget { worker_index, worker: self.workers[worker_index].id, speed, demand })
     }
 
-    /// Keeps what was found for a run that is to move there.
-    pub(super) fn keep(&mut self, it: &MoveTarget<'_>) {
+    /// Reserves capacity on a target for a run that is to move there.
+    pub(super) fn reserve(&mut self, it: &MoveTarget<'_>) {
         let worker = &mut self.workers[it.worker_index];
-        worker.take(&it.demand, self.contention);
-        self.touched.insert(worker.id);
+        worker.reserve(&it.demand, self.contention);
+        self.changed_workers.insert(worker.id);
     }
 }
 
-/// Tasks to place, each by its index with the number of its next run.
-struct Parted {
-    tried: Vec<(u32, u32)>,
-    free: Vec<(u32, u32)>,
+/// Tasks to place, each by its index and the number of its next run.
+struct SplitTasks {
+    on_probation: Vec<(u32, u32)>,
+    others: Vec<(u32, u32)>,
 }
 
-/// A worker that would take one more task.
+/// A worker that can take one more task.
 #[derive(Clone, Copy)]
 pub(super) struct MoveTarget<'a> {
     worker_index: usize,
@@ -348,15 +354,21 @@
     demand: TaskDemand<'a>,
 }
 
-fn task_of(at: StepRef, index: u32) -> TaskRef {
-    TaskRef { workflow: at.workflow, occurrence: at.occurrence, step: at.step, index }
+fn task_of(step_ref: StepRef, index: u32) -> TaskRef {
+    TaskRef {
+        workflow: step_ref.workflow,
+        occurrence: step_ref.occurrence,
+        step: step_ref.step,
+        index,
+    }
 }
 
-fn state_of(workflow: &Workflow, at: StepRef) -> Option<&StepState> {
-    workflow.occurrences.get(at.occurrence as usize)?.steps.get(at.step as usize)
+fn state_of(workflow: &Workflow, step_ref: StepRef) -> Option<&StepState> {
+    workflow.occurrences.get(step_ref.occurrence as usize)?.steps.get(step_ref.step as usize)
 }
 
-/// Returns how many runs of a step each worker has, where that is bounded.
+/// Returns the number of runs of a step on each worker, or an empty map if the step sets no limit
+/// per worker.
 fn counts_of(step: &WorkflowStep, state: &StepState) -> HashMap<WorkerId, u32> {
     let mut res = HashMap::new();
     if 0 < step.per_worker_max {
--- a/src/control/dispatch/plan/mod.rs
+++ b/src/control/dispatch/plan/mod.rs
@@ -1,7 +1,6 @@
-//! The next runs to begin: which tasks, in what order, and where.
+//! Plans the next runs: which tasks begin, in which order, and on which workers.
 //!
-//! A plan looks at the steps that could begin and at the rooms that are kept, never at all
-//! workflows or all runs.
+//! A plan visits the ready steps and the cached free capacities, never all workflows or all runs.
 
 mod builder;
 mod moves;
@@ -28,59 +27,60 @@
 use self::builder::PlanBuilder;
 pub(super) use self::waiting_steps::WaitingSteps;
 
-/// What the planner is told by the settings.
+/// Settings of the planner.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanOptions {
-    /// Longest pause between two plans: occurrences become due and slack shrinks by itself.
+    /// Maximum interval between two plans. Occurrences become due and urgencies rise without any
+    /// event.
     pub interval_ms: u64,
 }
 
-/// A step with tasks that could begin.
+/// A step whose tasks may begin.
 struct Candidate<'a> {
     urgency: Urgency,
     step_ref: StepRef,
     workflow: &'a Workflow,
 }
 
-/// Time for which a workflow with nothing running waits for a place where its fillers harm nobody.
-/// A third of the three seconds within which work must begin while most of the room is free; the
-/// silence of a worker that held the last run takes another part of them.
+/// Time for which a workflow with no running task waits for a worker where its fillers slow down no
+/// serving task. A third of the three seconds within which work must begin while most capacity is
+/// free; the silence of a worker that had the last run may use up another part of them.
 const IDLE_MAX_MS: u64 = 1_000;
 
-/// Share of the reserved processor, in percent, up to which a workflow is not kept idle for the
-/// sake of tails; the pace of fillers guards these then.
-const IDLE_ROOM_PERCENT: u64 = 60;
+/// Reserved share of the processor, in percent, up to which no workflow is kept idle to protect
+/// tail latencies; throttling of fillers protects them then.
+const IDLE_RESERVED_MAX_PERCENT: u64 = 60;
 
-/// Since when workflows have had nothing running though a step of theirs could begin.
+/// Times since which workflows have had no running task although a step may begin.
 pub(super) type IdleSince = HashMap<WorkflowId, u64>;
 
-/// What a plan leads to.
+/// Result of a plan.
 #[derive(Debug, Default)]
 pub(super) struct Plan {
     pub runs: Vec<RunPlacement>,
-    /// Fillers to stop, so that they go on elsewhere.
+    /// Fillers to stop, so that they move to other workers.
     pub moves: Vec<SlowRun>,
 }
 
-/// What a plan is made from.
+/// State that a plan is based on.
 pub(super) struct PlanInput<'a> {
     pub workflows: &'a Workflows,
     pub sessions: &'a Sessions,
     pub free_capacities: &'a mut FreeCapacities,
     pub contention: &'a mut ContentionModel,
-    /// Workers where nothing may begin, since a task is tried there.
+    /// Workers where no other task may begin, since one is on probation there.
     pub probations: Probations,
     pub usability: UsabilityCriteria,
 }
 
-/// Returns the runs to begin now, and those to move.
+/// Returns the runs to begin now, and the fillers to move.
 pub(super) fn plan(
-    basis: PlanInput<'_>,
+    input: PlanInput<'_>,
     idle_since: &mut IdleSince,
     waiting_steps: &mut WaitingSteps,
 ) -> Plan {
     let PlanInput { workflows, sessions, free_capacities, contention, probations, usability } =
-        basis;
+        input;
     let now = usability.now;
     let candidates = candidates(workflows, now);
     let slow = sessions.slow_runs(workflows, usability);
@@ -99,48 +99,48 @@
     for it in &candidates {
         builder.place(it.step_ref, it.workflow, PlacementMode::ProtectLatency);
     }
-    let idle = idle(&candidates, &builder);
+    let idle = idle_candidates(&candidates, &builder);
     let ids: HashSet<_> = idle.iter().map(|it| it.step_ref.workflow).collect();
     idle_since.retain(|id, _| ids.contains(id));
-    let has_room = has_idle_room(workflows, builder.workers());
+    let may_use_any_worker = is_lightly_reserved(workflows, builder.workers());
     for it in idle {
         let since_ms = *idle_since.entry(it.step_ref.workflow).or_insert(now.mono_ms);
-        if has_room && since_ms + IDLE_MAX_MS <= now.mono_ms {
+        if may_use_any_worker && since_ms + IDLE_MAX_MS <= now.mono_ms {
             builder.place(it.step_ref, it.workflow, PlacementMode::AnyWorker);
         }
     }
-    waiting_steps.note(&candidates, &builder, now.mono_ms);
-    let moves = moves::moves(&slow, &mut builder);
+    waiting_steps.update(&candidates, &builder, now.mono_ms);
+    let moves = moves::reserve_moves(&slow, &mut builder);
     let rows_visited = builder.rows_visited();
-    let (runs, touched) = builder.finish();
+    let (runs, changed_workers) = builder.finish();
     free_capacities.note_visited(rows_visited);
-    touched.into_iter().for_each(|it| free_capacities.note_changed(it));
+    changed_workers.into_iter().for_each(|it| free_capacities.mark_stale(it));
     Plan { runs, moves }
 }
 
-/// Returns the candidates of workflows that run nowhere, nor will by this plan.
-fn idle<'a, 'b>(
+/// Returns the candidates of workflows that have no run on a usable worker, also after this plan.
+fn idle_candidates<'a, 'b>(
     candidates: &'a [Candidate<'b>],
     builder: &PlanBuilder<'_, '_>,
 ) -> Vec<&'a Candidate<'b>> {
-    // What is placed on a worker that is silent may no longer run.
-    let heard: HashSet<_> = builder.workers().iter().map(|it| it.id).collect();
+    // Runs on a silent worker may have ended.
+    let usable: HashSet<_> = builder.workers().iter().map(|it| it.id).collect();
     let placed: HashSet<_> = builder.runs().iter().map(|it| it.run.task.workflow).collect();
     let is_idle = |it: &&Candidate<'_>| {
-        !placed.contains(&it.step_ref.workflow) && !it.workflow.has_run_on_any(&heard)
+        !placed.contains(&it.step_ref.workflow) && !it.workflow.has_run_on_any(&usable)
     };
     candidates.iter().filter(is_idle).collect()
 }
 
-/// Returns whether so little is reserved that nothing may be kept idle.
-fn has_idle_room(workflows: &Workflows, free_capacities: &[&mut FreeCapacity]) -> bool {
+/// Returns whether so little processor is reserved that no workflow may be kept idle.
+fn is_lightly_reserved(workflows: &Workflows, free_capacities: &[&mut FreeCapacity]) -> bool {
     let workers = || free_capacities.iter().filter_map(|it| workflows.workers().get(it.id));
     let used: u64 = workers().map(|it| u64::from(it.used.cpu_millicores)).sum();
     let capacity: u64 = workers().map(|it| u64::from(it.capacity.cpu_millicores)).sum();
-    used * 100 <= capacity * IDLE_ROOM_PERCENT
+    used * 100 <= capacity * IDLE_RESERVED_MAX_PERCENT
 }
 
-/// Returns the steps that could begin, most urgent first.
+/// Returns the steps that may begin, most urgent first.
 fn candidates(workflows: &Workflows, now: Now) -> Vec<Candidate<'_>> {
     let ready = workflows.ready_steps();
     let mut res: Vec<_> = ready.filter_map(|it| candidate(workflows, it, now)).collect();
@@ -156,39 +156,40 @@
         return None;
     }
     let occurrence = workflow.occurrences.get(step_ref.occurrence as usize)?;
-    let tails_ms = tails_ms(&workflow.spec);
-    let chain_ms = tails_ms.iter().copied().max().unwrap_or(0);
-    let objective_ms = chain_ms * u64::from(queue.stretch_percent) / 100 + queue.target_ms;
+    let chains_ms = chains_ms(&workflow.spec);
+    let longest_chain_ms = chains_ms.iter().copied().max().unwrap_or(0);
+    let objective_ms = longest_chain_ms * u64::from(queue.stretch_percent) / 100 + queue.target_ms;
     let step = step_ref.step as usize;
-    let claim = PendingStep {
+    let pending = PendingStep {
         priority: queue.priority,
         is_long_running: workflow.spec.steps.get(step)?.lasting,
         objective_deadline_ms: workflow.accepted_ms.max(due_ms) + objective_ms,
-        remaining_ms: tails_ms[step],
+        remaining_ms: chains_ms[step],
         work_core_ms: work_core_ms(workflow, occurrence),
     };
-    Some(Candidate { urgency: urgency(claim, now.wall_ms), step_ref, workflow })
+    Some(Candidate { urgency: urgency(pending, now.wall_ms), step_ref, workflow })
 }
 
-/// Returns for each step the longest chain of declared run times that begins with it.
-fn tails_ms(spec: &WorkflowSpec) -> Vec<u64> {
+/// Returns for each step the longest sum of declared run times over a chain that begins with it.
+fn chains_ms(spec: &WorkflowSpec) -> Vec<u64> {
     let mut res: Vec<u64> = spec.steps.iter().map(|it| it.estimate_ms).collect();
-    // Steps wait for earlier ones only, so later tails are known first.
-    for at in (0..spec.steps.len()).rev() {
-        for before in &spec.steps[at].after {
-            let before = *before as usize;
-            res[before] = res[before].max(spec.steps[before].estimate_ms + res[at]);
+    // Steps depend on earlier ones only, so the chains of later steps are known first.
+    for index in (0..spec.steps.len()).rev() {
+        for dependency in &spec.steps[index].after {
+            let dependency = *dependency as usize;
+            res[dependency] = res[dependency].max(spec.steps[dependency].estimate_ms + res[index]);
         }
     }
     res
 }
 
-/// Returns the processor time that an occurrence still needs, by declared run times.
+/// Returns the processor time, in core-milliseconds, that the remaining tasks of an occurrence need
+/// by their declared run times.
 fn work_core_ms(workflow: &Workflow, occurrence: &Occurrence) -> u64 {
     let steps = workflow.spec.steps.iter().zip(&occurrence.steps);
-    let left = steps.map(|(step, state)| {
+    let remaining = steps.map(|(step, state)| {
         let tasks = u64::from(step.count - state.done_count.min(step.count));
         tasks * step.estimate_ms * u64::from(step.need.cpu_millicores) / 1_000
     });
-    left.sum()
+    remaining.sum()
 }
--- a/src/control/dispatch/plan/moves.rs
+++ b/src/control/dispatch/plan/moves.rs
@@ -1,7 +1,7 @@
-//! Fillers that work slowly where they are and go on elsewhere.
+//! Moves slow fillers to workers where they run faster.
 //!
-//! A step waits for its last task, so one filler that is halted beside a busy service holds up
-//! its whole workflow while other workers could run it at full speed.
+//! A step waits for its last task, so one filler that is suspended beside a busy service delays its
+//! whole workflow while other workers could run it at full speed.
 
 use std::collections::HashMap;
 
@@ -13,51 +13,53 @@
 
 use super::builder::{MoveTarget, PlanBuilder};
 
-/// Most moves of one plan: reports of their effect come half a second later.
+/// Maximum number of moves per plan: reports of their effect arrive half a second later.
 const MOVES_MAX: usize = 8;
 
-/// Returns the runs to stop, because they would end sooner on workers that have room.
-pub(super) fn moves(slow: &[SlowRun], builder: &mut PlanBuilder<'_, '_>) -> Vec<SlowRun> {
+/// Reserves capacity for the runs that would end sooner on other workers; returns these runs, which
+/// are to be stopped.
+pub(super) fn reserve_moves(slow: &[SlowRun], builder: &mut PlanBuilder<'_, '_>) -> Vec<SlowRun> {
     let mut res = Vec::new();
-    let mut best = BestPlaces::new();
+    let mut best_targets = BestTargets::new();
     for it in slow {
         if MOVES_MAX <= res.len() {
             break;
         }
-        if moves_one(it, builder, &mut best).is_some() {
+        if reserve_move(it, builder, &mut best_targets).is_some() {
             res.push(*it);
         }
     }
     res
 }
 
-/// The best place for one more task of each step that was asked for. Tasks of a step are alike, and
-/// in overload as many are slow as the fleet is large: asked for each, a plan would take the square
-/// of that.
-type BestPlaces<'a> = HashMap<StepRef, Option<MoveTarget<'a>>>;
+/// Cache of the best worker for one more task of each step. Tasks of a step have the same
+/// requirements, and in overload the number of slow tasks grows with the fleet: without the cache,
+/// the time of a plan would grow with the square of the fleet's size.
+type BestTargets<'a> = HashMap<StepRef, Option<MoveTarget<'a>>>;
 
-/// Keeps a better place for a run, if there is one.
-fn moves_one<'a>(
+/// Reserves capacity for a run on a better worker, if there is one.
+fn reserve_move<'a>(
     it: &SlowRun,
     builder: &mut PlanBuilder<'a, '_>,
-    best: &mut BestPlaces<'a>,
+    best_targets: &mut BestTargets<'a>,
 ) -> Option<()> {
     let workflow = builder.workflows().get(it.run.task.workflow)?;
     let step = workflow.spec.steps.get(it.run.task.step as usize)?;
-    let at = StepRef::of_task(it.run.task);
-    let found = (*best.entry(at).or_insert_with(|| builder.best_for(at, workflow)))?;
-    let movable = MigrationCandidate {
+    let step_ref = StepRef::of_task(it.run.task);
+    let target =
+        (*best_targets.entry(step_ref).or_insert_with(|| builder.best_for(step_ref, workflow)))?;
+    let candidate = MigrationCandidate {
         estimate_ms: step.estimate_ms,
         progress_percent: it.progress_percent,
         keeps_progress: step.checkpoints,
         current_speed_share: it.speed_share,
     };
-    let is_better = found.worker != it.worker && is_worth_moving(movable, found.speed);
+    let is_better = target.worker != it.worker && is_worth_moving(candidate, target.speed);
     if !is_better {
         return None;
     }
-    builder.keep(&found);
-    // A place that is taken offers less; all others offer what they did.
-    best.retain(|_, it| it.is_none_or(|it| it.worker != found.worker));
+    builder.reserve(&target);
+    // Only the offers of the worker that was chosen have changed.
+    best_targets.retain(|_, it| it.is_none_or(|it| it.worker != target.worker));
     Some(())
 }
--- a/src/control/dispatch/plan/waiting_steps.rs
+++ b/src/control/dispatch/plan/waiting_steps.rs
@@ -1,4 +1,4 @@
-//! Tasks that last and find no worker, written down with what they wait for.
+//! Logs long-running tasks that no worker can take, with the cause of the wait.
 
 use std::collections::HashMap;
 
@@ -10,17 +10,17 @@
     prelude::*,
 };
 
-/// Wait after which a line is written: longer than a lease takes to run out is not needed, since the
-/// task is ready only then.
-const SHOWN_AFTER_MS: u64 = 2_000;
+/// Wait after which a step is logged. It need not cover the expiry of a lease, since a task is
+/// ready only after that.
+const LOG_AFTER_MS: u64 = 2_000;
 
-/// Pause between two lines on one step.
-const SHOWN_AGAIN_MS: u64 = 5_000;
+/// Interval between two log lines on one step.
+const LOG_INTERVAL_MS: u64 = 5_000;
 
-/// Steps named after one plan.
-const NAMED_MAX: usize = 4;
+/// Maximum number of steps logged per plan.
+const LOGGED_STEPS_MAX: usize = 4;
 
-/// Steps with tasks that last and wait.
+/// Steps with long-running tasks that wait for a worker.
 #[derive(Debug, Default)]
 pub(in crate::control::dispatch) struct WaitingSteps {
     steps: HashMap<StepRef, Wait>,
@@ -29,62 +29,62 @@
 #[derive(Clone, Copy, Debug)]
 struct Wait {
     since_ms: u64,
-    shown_ms: u64,
+    logged_ms: u64,
 }
 
 impl WaitingSteps {
-    /// Forgets all: nothing waits.
     pub(super) fn clear(&mut self) {
         self.steps.clear();
     }
 
-    /// Takes in what a plan left without a worker.
-    pub(super) fn note(
+    /// Updates the waits after a plan, and logs those that are due.
+    pub(super) fn update(
         &mut self,
         candidates: &[Candidate<'_>],
         builder: &PlanBuilder<'_, '_>,
         now_ms: u64,
     ) {
-        let lasting = candidates.iter().filter(|it| is_long_running(it));
-        let left: Vec<_> = lasting.filter_map(|it| Some((it, left_by(it, builder)?))).collect();
-        self.steps.retain(|at, _| left.iter().any(|(it, _)| it.step_ref == *at));
-        let mut named = 0;
-        for (it, left) in left {
+        let long_running = candidates.iter().filter(|it| is_long_running(it));
+        let unplaced: Vec<_> =
+            long_running.filter_map(|it| Some((it, unplaced_tasks(it, builder)?))).collect();
+        self.steps.retain(|step_ref, _| unplaced.iter().any(|(it, _)| it.step_ref == *step_ref));
+        let mut logged = 0;
+        for (it, unplaced) in unplaced {
             let wait = self
                 .steps
                 .entry(it.step_ref)
-                .or_insert(Wait { since_ms: now_ms, shown_ms: now_ms });
-            let is_due = wait.since_ms + SHOWN_AFTER_MS <= now_ms
-                && (wait.shown_ms == wait.since_ms || wait.shown_ms + SHOWN_AGAIN_MS <= now_ms);
-            if is_due && named < NAMED_MAX {
-                named += 1;
-                wait.shown_ms = now_ms;
-                left.log(it.step_ref, now_ms - wait.since_ms, builder);
+                .or_insert(Wait { since_ms: now_ms, logged_ms: now_ms });
+            let is_due = wait.since_ms + LOG_AFTER_MS <= now_ms
+                && (wait.logged_ms == wait.since_ms || wait.logged_ms + LOG_INTERVAL_MS <= now_ms);
+            if is_due && logged < LOGGED_STEPS_MAX {
+                logged += 1;
+                wait.logged_ms = now_ms;
+                unplaced.log(it.step_ref, now_ms - wait.since_ms, builder);
             }
         }
     }
 }
 
-/// Tasks of a step that wait.
+/// Counts of the tasks of a step that a plan has not placed.
 #[derive(Clone, Copy, Debug)]
-struct Left {
+struct UnplacedTasks {
     tasks: usize,
     suspects: usize,
-    /// Those that wait until no workers crash.
-    held: usize,
+    /// Tasks that wait for a quiet period.
+    waiting_for_quiet: usize,
 }
 
-impl Left {
-    fn log(self, at: StepRef, waited_ms: u64, builder: &PlanBuilder<'_, '_>) {
+impl UnplacedTasks {
+    fn log(self, step_ref: StepRef, waited_ms: u64, builder: &PlanBuilder<'_, '_>) {
         let workers = builder.workers().len();
         let cause = match self {
             _ if workers == 0 => "no_worker",
-            it if it.held == it.tasks => "recent_crashes",
+            it if it.waiting_for_quiet == it.tasks => "recent_crashes",
             it if it.suspects == it.tasks => "probation",
             _ => "no_capacity",
         };
         let probations = builder.probations().len();
-        tracing::warn!(event = "tasks_waiting", workflow = %format_args!("{:016x}", at.workflow.0), step = at.step, tasks = self.tasks, suspects = self.suspects, waited_ms, workers, probations, cause);
+        tracing::warn!(event = "tasks_waiting", workflow = %format_args!("{:016x}", step_ref.workflow.0), step = step_ref.step, tasks = self.tasks, suspects = self.suspects, waited_ms, workers, probations, cause);
     }
 }
 
@@ -92,17 +92,18 @@
     it.workflow.spec.steps.get(it.step_ref.step as usize).is_some_and(|it| it.lasting)
 }
 
-/// Returns the tasks of a step that have no run, nor will have by this plan.
-fn left_by(it: &Candidate<'_>, builder: &PlanBuilder<'_, '_>) -> Option<Left> {
+/// Counts the tasks of a step that have no run, also after this plan; `None` if there are none.
+fn unplaced_tasks(it: &Candidate<'_>, builder: &PlanBuilder<'_, '_>) -> Option<UnplacedTasks> {
     let occurrence = it.workflow.occurrences.get(it.step_ref.occurrence as usize)?;
     let state: &StepState = occurrence.steps.get(it.step_ref.step as usize)?;
     let is_placed = |index: u32| {
-        let of_step = |run: &RunPlacement| StepRef::of_task(run.run.task) == it.step_ref;
-        builder.runs().iter().any(|run| of_step(run) && run.run.task.index == index)
+        let is_of_step = |run: &RunPlacement| StepRef::of_task(run.run.task) == it.step_ref;
+        builder.runs().iter().any(|run| is_of_step(run) && run.run.task.index == index)
     };
-    let waiting =
+    let waiting_tasks =
         state.tasks.iter().zip(0_u32..).filter(|(it, _)| !it.is_done && it.runs.is_empty());
-    let waiting: Vec<_> = waiting.map(|(_, index)| index).filter(|it| !is_placed(*it)).collect();
+    let waiting_tasks: Vec<_> =
+        waiting_tasks.map(|(_, index)| index).filter(|it| !is_placed(*it)).collect();
     let suspects = builder.workflows().suspects();
     let task = |index: u32| TaskRef {
         workflow: it.step_ref.workflow,
@@ -110,7 +111,13 @@
         step: it.step_ref.step,
         index,
     };
-    let tried = waiting.iter().filter(|it| suspects.needs_probation(task(**it))).count();
-    let held = waiting.iter().filter(|it| !builder.may_begin(task(**it))).count();
-    (!waiting.is_empty()).then_some(Left { tasks: waiting.len(), suspects: tried, held })
+    let suspect_count =
+        waiting_tasks.iter().filter(|it| suspects.needs_probation(task(**it))).count();
+    let waiting_for_quiet =
+        waiting_tasks.iter().filter(|it| !builder.may_begin(task(**it))).count();
+    (!waiting_tasks.is_empty()).then_some(UnplacedTasks {
+        tasks: waiting_tasks.len(),
+        suspects: suspect_count,
+        waiting_for_quiet,
+    })
 }
--- a/src/control/dispatch/probations.rs
+++ b/src/control/dispatch/probations.rs
@@ -1,8 +1,9 @@
-//! Workers on which a suspected task is tried.
+//! Workers with a suspected task on probation.
 //!
-//! Nothing else begins there until the task has outlived its trial, so that a crash tells who
-//! caused it. It answers loads in which tasks take down whatever starts them: on a day where eleven
-//! workers were lost to two such tasks 312 times, it ends after two crashes of each.
+//! No other task begins on such a worker until the task has outlived its probation, so that a crash
+//! identifies its cause. This limits the damage by tasks that crash every worker they start on: two
+//! such tasks crashed eleven workers 312 times in a day; with probation, each ends after two
+//! crashes.
 
 use std::collections::BTreeMap;
 
@@ -12,27 +13,28 @@
     prelude::*,
 };
 
-/// One worker in so many, and one at least, may be under trial at a time: the others go on taking
-/// new work, and many such tasks cannot take a whole fleet down at once.
-const WORKERS_A_TRIAL: usize = 3;
+/// One in this many workers, and at least one, may host a probation at a time: the others keep
+/// taking new work, and many crashing tasks cannot take down the whole fleet at once.
+const WORKERS_PER_PROBATION: usize = 3;
 
-/// Time for which a worker counts as a newcomer, which a trial avoids: one that goes down and up
-/// by itself would be blamed on whatever is tried there. As long as the rate of crashes looks back.
-const NEWCOMER_MS: u64 = CRASH_RATE_WINDOW_MS;
+/// Time for which a worker counts as recently enrolled. Probations avoid such workers, since
+/// crashes of a worker that restarts by itself would be blamed on the task. Equals the window of
+/// the crash rate.
+const RECENTLY_ENROLLED_MS: u64 = CRASH_RATE_WINDOW_MS;
 
-/// The workers under trial, and those that have come lately.
+/// The workers that host a probation, and the recently enrolled workers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Probations {
-    /// When each trial under way is over.
+    /// End of each active probation.
     until_ms: BTreeMap<WorkerId, u64>,
-    newcomers_until_ms: BTreeMap<WorkerId, u64>,
-    /// Until when no calm can be.
-    calm_from_ms: u64,
+    recently_enrolled_until_ms: BTreeMap<WorkerId, u64>,
+    /// Earliest time at which a quiet period can be over.
+    quiet_from_ms: u64,
     is_quiet: bool,
 }
 
 impl Probations {
-    /// Takes the suspected tasks that run under a new leader for ones that have just begun.
+    /// Starts the probations of all suspected tasks that run when a new leader takes over.
     pub(super) fn take_over(workflows: &Workflows, now: Now) -> Probations {
         let suspects = workflows.suspects().iter().filter(|(_, it)| it.needs_probation());
         let runs = suspects.filter_map(|(task, _)| {
@@ -40,67 +42,67 @@
             Some(workflow.task(task)?.runs.iter().map(|it| it.worker))
         });
         let until_ms = runs.flatten().map(|it| (it, now.mono_ms + PROBATION_MS)).collect();
-        // What crashed under the leader before is not known.
+        // Crashes under the earlier leader are not known.
         Probations {
             until_ms,
-            calm_from_ms: now.mono_ms + QUIET_PERIOD_MS,
+            quiet_from_ms: now.mono_ms + QUIET_PERIOD_MS,
             ..Probations::default()
         }
     }
 
-    /// Takes in runs that have come into the ledger.
-    pub(super) fn note_begun(&mut self, workflows: &Workflows, runs: &[RunPlacement], now: Now) {
-        let is_tried = |it: &&RunPlacement| workflows.suspects().needs_probation(it.run.task);
+    /// Starts probations for the suspected tasks among runs that the ledger has applied.
+    pub(super) fn note_begin(&mut self, workflows: &Workflows, runs: &[RunPlacement], now: Now) {
+        let is_suspected = |it: &&RunPlacement| workflows.suspects().needs_probation(it.run.task);
         let until_ms = now.mono_ms + PROBATION_MS;
-        self.until_ms.extend(runs.iter().filter(is_tried).map(|it| (it.worker, until_ms)));
+        self.until_ms.extend(runs.iter().filter(is_suspected).map(|it| (it.worker, until_ms)));
     }
 
-    /// Takes in a worker that has come into the ledger.
+    /// Notes a worker that the ledger has enrolled.
     pub(super) fn note_enrolled(&mut self, worker: WorkerId, now: Now) {
-        self.newcomers_until_ms.insert(worker, now.mono_ms + NEWCOMER_MS);
+        self.recently_enrolled_until_ms.insert(worker, now.mono_ms + RECENTLY_ENROLLED_MS);
     }
 
-    /// Takes in the crash of a worker.
+    /// Notes the crash of a worker, which starts a new quiet period.
     pub(super) fn note_crash(&mut self, now: Now) {
-        self.calm_from_ms = now.mono_ms + QUIET_PERIOD_MS;
+        self.quiet_from_ms = now.mono_ms + QUIET_PERIOD_MS;
     }
 
-    /// Returns whether no worker has crashed lately.
+    /// Returns whether no worker crashed during the last quiet period.
     pub(super) fn is_quiet(&self) -> bool {
         self.is_quiet
     }
 
-    /// Forgets the trials that are over, and returns the others.
-    pub(super) fn under_way(&mut self, now: Now) -> Probations {
-        self.is_quiet = self.calm_from_ms <= now.mono_ms;
+    /// Removes the probations that are over, and returns the others.
+    pub(super) fn active(&mut self, now: Now) -> Probations {
+        self.is_quiet = self.quiet_from_ms <= now.mono_ms;
         self.until_ms.retain(|_, until_ms| now.mono_ms < *until_ms);
-        self.newcomers_until_ms.retain(|_, until_ms| now.mono_ms < *until_ms);
+        self.recently_enrolled_until_ms.retain(|_, until_ms| now.mono_ms < *until_ms);
         self.clone()
     }
 
-    /// Notes a trial that a plan begins.
+    /// Notes a probation that a plan starts, with no end before the ledger applies the plan.
     pub(super) fn begin(&mut self, worker: WorkerId) {
         self.until_ms.insert(worker, u64::MAX);
     }
 
-    /// Returns whether a task is tried on a worker.
+    /// Returns whether a worker hosts a probation.
     pub(super) fn contains(&self, worker: WorkerId) -> bool {
         self.until_ms.contains_key(&worker)
     }
 
-    /// Returns whether a worker has come lately.
+    /// Returns whether a worker has enrolled recently.
     pub(super) fn is_recently_enrolled(&self, worker: WorkerId) -> bool {
-        self.newcomers_until_ms.contains_key(&worker)
+        self.recently_enrolled_until_ms.contains_key(&worker)
     }
 
-    /// Returns how many workers are under trial.
+    /// Returns the number of workers that host a probation.
     pub(super) fn len(&self) -> usize {
         self.until_ms.len()
     }
 
-    /// Returns whether so many trials are under way, on so many usable workers, that no workflow
-    /// may begin another one.
-    pub(super) fn are_many(&self, usable: usize) -> bool {
-        usable.div_ceil(WORKERS_A_TRIAL).max(1) <= self.until_ms.len()
+    /// Returns whether the number of probations has reached its limit for a number of usable
+    /// workers.
+    pub(super) fn is_limit_reached(&self, usable_workers: usize) -> bool {
+        usable_workers.div_ceil(WORKERS_PER_PROBATION).max(1) <= self.until_ms.len()
     }
 }
--- a/src/control/dispatch/requests.rs
+++ b/src/control/dispatch/requests.rs
@@ -1,4 +1,4 @@
-//! Clients' and operators' requests, answered by the leader.
+//! Decides how the leader answers requests of clients and operators.
 
 use crate::{
     control::dispatch::Dispatcher,
@@ -6,17 +6,17 @@
     prelude::*,
 };
 
-/// What a request leads to.
+/// How a request is answered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestDecision {
-    /// Answered from the state.
+    /// Answered at once from the state.
     Answer(WorkflowOutcome),
-    /// Answered with what the ledger says of this command.
+    /// Answered with the outcome of this command when the ledger has applied it.
     Propose(WorkflowCommand),
 }
 
 impl Dispatcher {
-    /// Decides on a request.
+    /// Decides how to answer a request.
     pub fn decide_request(
         workflows: &Workflows,
         request: WorkflowRequest,
@@ -30,16 +30,16 @@
             }),
             WorkflowRequest::Install(it) => match check_queues(&it) {
                 Ok(()) => RequestDecision::Propose(WorkflowCommand::Install(it)),
-                Err(ValidationError(why)) => {
-                    tracing::info!(event = "queues_refused", version = it.version, why = %why);
-                    RequestDecision::Answer(WorkflowOutcome::Invalid(why))
+                Err(ValidationError(reason)) => {
+                    tracing::info!(event = "queues_refused", version = it.version, why = %reason);
+                    RequestDecision::Answer(WorkflowOutcome::Invalid(reason))
                 }
             },
             WorkflowRequest::ReadEvacuations => RequestDecision::Answer(evacuations(workflows)),
             WorkflowRequest::Evacuate(it) => evacuate(workflows, it),
             WorkflowRequest::Submit(it) => submit(workflows, it, now),
             WorkflowRequest::Inspect(it) => RequestDecision::Answer(inspect(workflows, &it)),
-            WorkflowRequest::Cancel(it) => match find(workflows, &it) {
+            WorkflowRequest::Cancel(it) => match resolve_target(workflows, &it) {
                 Ok((_, Some(id))) if workflows.get(id).is_some() => {
                     RequestDecision::Propose(WorkflowCommand::Cancel(id))
                 }
@@ -56,12 +56,12 @@
 }
 
 fn evacuate(workflows: &Workflows, it: EvacuateRequest) -> RequestDecision {
-    if let Err(ValidationError(why)) = workflows.evacuations().check(&it) {
-        tracing::info!(event = "evacuation_refused", zone = %it.zone, why = %why);
-        return RequestDecision::Answer(WorkflowOutcome::Invalid(why));
+    if let Err(ValidationError(reason)) = workflows.evacuations().check(&it) {
+        tracing::info!(event = "evacuation_refused", zone = %it.zone, why = %reason);
+        return RequestDecision::Answer(WorkflowOutcome::Invalid(reason));
     }
     match it.based_on {
-        // Whoever asks is told what it would change, and asks again on that ground.
+        // The operator gets the present revision, and repeats the request with it.
         None => RequestDecision::Answer(evacuations(workflows)),
         Some(based_on) if based_on != workflows.evacuations().revision => {
             RequestDecision::Answer(WorkflowOutcome::Stale)
@@ -76,7 +76,7 @@
 }
 
 fn submit(workflows: &Workflows, it: WorkflowSubmission, now: Now) -> RequestDecision {
-    let (queue, id) = match find(workflows, &it.target) {
+    let (queue, id) = match resolve_target(workflows, &it.target) {
         Ok((queue, Some(id))) => (queue, id),
         Ok((_, None)) => return RequestDecision::Answer(WorkflowOutcome::NotFound),
         Err(it) => return RequestDecision::Answer(it),
@@ -87,8 +87,8 @@
     if queue.needs_ticket {
         return RequestDecision::Answer(WorkflowOutcome::Unserved);
     }
-    if let Err(ValidationError(why)) = check_spec(&it.spec) {
-        return RequestDecision::Answer(WorkflowOutcome::Invalid(why));
+    if let Err(ValidationError(reason)) = check_spec(&it.spec) {
+        return RequestDecision::Answer(WorkflowOutcome::Invalid(reason));
     }
     RequestDecision::Propose(WorkflowCommand::Submit(SubmitWorkflow {
         id,
@@ -99,24 +99,25 @@
 }
 
 fn inspect(workflows: &Workflows, it: &WorkflowTarget) -> WorkflowOutcome {
-    match find(workflows, it) {
+    match resolve_target(workflows, it) {
         Ok((_, Some(id))) => match workflows.get(id) {
             Some(it) => WorkflowOutcome::Phase(it.phase()),
             None => WorkflowOutcome::Gone,
         },
         Ok((queue, None)) => {
-            let waits = |it: &&crate::control::state::Workflow| {
+            let is_queued = |it: &&crate::control::state::Workflow| {
                 it.queue == queue.name && it.phase() == WorkflowPhase::Queued
             };
-            let count = workflows.active().map(|(_, it)| it).filter(waits).count();
+            let count = workflows.active().map(|(_, it)| it).filter(is_queued).count();
             WorkflowOutcome::Pending(count as u64)
         }
         Err(it) => it,
     }
 }
 
-/// Returns the queue of a place, and the workflow that the rest of the path names, if any.
-fn find<'a>(
+/// Returns the queue that serves a target, and the workflow that the rest of the path names, if
+/// any.
+fn resolve_target<'a>(
     workflows: &'a Workflows,
     it: &WorkflowTarget,
 ) -> Result<(&'a Queue, Option<WorkflowId>), WorkflowOutcome> {
--- a/src/control/dispatch/retention.rs
+++ b/src/control/dispatch/retention.rs
@@ -1,8 +1,8 @@
-//! For how long ended workflows are kept, whatever clocks of day do.
+//! Retention of ended workflows, independent of changes to the wall clock.
 //!
-//! An end is stamped by the clock of day of the leader that took it in, which may be set ahead or
-//! back, and differs from the next leader's. So a leader counts the time itself, by a clock that is
-//! never set, and knows what its clock of day read then.
+//! An end is stamped with the wall clock of the leader that processed it. This clock may be set
+//! ahead or back, and differs from that of the next leader. A leader therefore measures the
+//! retention time with its monotonic clock, and records the wall clock along with it.
 
 use std::collections::VecDeque;
 
@@ -15,7 +15,7 @@
 }
 
 impl ClockReadings {
-    /// Takes in a reading; those that are older than the one sought for `age_ms` are dropped.
+    /// Adds a reading, and drops the old ones that are not needed for `age_ms`.
     pub(super) fn note(&mut self, now: Now, age_ms: u64) {
         self.readings.push_back(now);
         let is_old = |it: &Now| it.mono_ms + age_ms <= now.mono_ms;
@@ -24,13 +24,13 @@
         }
     }
 
-    /// Returns a time of day that only stamps of more than `age_ms` ago are before; nothing for as
-    /// long as this leader has not led for that time.
+    /// Returns a wall-clock time such that all ends stamped before it are older than `age_ms`, or
+    /// `None` if this leader has not led for that long.
     ///
-    /// What was stamped since then is not before it, even where the clock was set back meanwhile.
+    /// Later ends are not stamped before it, even if the wall clock was set back in the meantime.
     pub(super) fn wall_before(&self, now: Now, age_ms: u64) -> Option<u64> {
-        let first = self.readings.front()?;
-        if now.mono_ms < first.mono_ms + age_ms {
+        let oldest = self.readings.front()?;
+        if now.mono_ms < oldest.mono_ms + age_ms {
             return None;
         }
         self.readings.iter().map(|it| it.wall_ms).min()
--- a/src/control/dispatch/run_monitor.rs
+++ b/src/control/dispatch/run_monitor.rs
@@ -1,4 +1,4 @@
-//! What the leader watches of each run that a worker lists.
+//! Monitors the progress and speed of each run that a worker reports.
 
 use crate::{
     control::state::Workflows,
@@ -10,14 +10,14 @@
     prelude::*,
 };
 
-/// What a run is, by the workflow that it belongs to.
+/// Kind of a run, by the step that it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RunKind {
-    /// Serves users of its own under a bound.
+    /// Serves requests within a latency target.
     Serving { image: ImageKey, target_ms: u64 },
-    /// Takes processor that others leave.
+    /// Best-effort task (filler) that uses processor left idle by others.
     Filler { image: ImageKey, millicores: u32 },
-    /// Runs on what it reserved.
+    /// Runs on its reservation.
     Plain,
 }
 
@@ -37,28 +37,28 @@
     }
 }
 
-/// One run that a worker lists.
+/// Monitor of one run that a worker reports.
 #[derive(Clone, Copy, Debug)]
 pub struct RunMonitor {
-    /// When this leader was first told that the worker runs it.
+    /// Time of the first report to this leader that lists the run.
     pub first_listed_ms: u64,
-    /// Nothing for a run of no workflow that is known.
+    /// `None` if the run belongs to no known workflow.
     pub run_kind: Option<RunKind>,
-    /// Its declared run time, where it should make progress: it does not last, has its processor
-    /// to itself, and waits for no other member of a gang.
+    /// Declared run time, if the run is expected to progress steadily: it is not long-running, has
+    /// processor reserved, and does not wait for other members of a gang.
     estimate_ms: Option<u64>,
-    /// It is a filler that may go on elsewhere.
+    /// Whether the run is a filler that may move to another worker.
     can_move: bool,
     stall_detector: StallDetector,
     speed: RelativeSpeed,
-    /// It stands still, or goes on elsewhere, and is told to stop.
+    /// Whether the run is ordered to stop, because it stalled or moves to another worker.
     pub evicted: bool,
-    /// Number of the newest report that lists it.
+    /// Number of the newest report that lists the run.
     pub last_report_number: u64,
 }
 
 impl RunMonitor {
-    /// Begins to watch a run with the first report that lists it.
+    /// Creates a monitor from the first report that lists a run.
     pub(super) fn new(
         workflows: &Workflows,
         contention: &mut ContentionModel,
@@ -66,12 +66,12 @@
         now_ms: u64,
     ) -> RunMonitor {
         let step = workflows.step_of(task.run.task);
-        let can_judge = |it: &&WorkflowStep| !it.lasting && !it.gang;
+        let can_monitor = |it: &&WorkflowStep| !it.lasting && !it.gang;
         RunMonitor {
             first_listed_ms: now_ms,
             run_kind: step.map(|it| RunKind::of(it, contention)),
-            estimate_ms: step.filter(can_judge).filter(|it| !it.filler).map(|it| it.estimate_ms),
-            can_move: step.filter(can_judge).is_some_and(|it| it.filler),
+            estimate_ms: step.filter(can_monitor).filter(|it| !it.filler).map(|it| it.estimate_ms),
+            can_move: step.filter(can_monitor).is_some_and(|it| it.filler),
             stall_detector: StallDetector::new(task.progress_percent, now_ms),
             speed: RelativeSpeed::new(now_ms),
             evicted: false,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Takes in a row of a report; returns whether the run stands still.
+    /// Updates the monitor from a report; returns whether the run has stalled.
     pub(super) fn observe(&mut self, task: &RunningTask, now_ms: u64) -> bool {
         if let (true, Some(RunKind::Filler { millicores, .. })) = (self.can_move, self.run_kind) {
             self.speed.observe(f64::from(task.load) / f64::from(millicores.max(1)));
@@ -88,7 +88,7 @@
         estimate_ms.is_some_and(|it| self.stall_detector.observe(task.progress_percent, it, now_ms))
     }
 
-    /// Returns the share of its speed that a filler has, once that is known to be low.
+    /// Returns the share of its full speed at which a filler runs, if it is known to be slow.
     pub(super) fn speed_share_if_slow(&self, now_ms: u64) -> Option<f64> {
         self.speed.speed_share_if_slow(now_ms).filter(|_| self.can_move)
     }
--- a/src/control/dispatch/sessions.rs
+++ b/src/control/dispatch/sessions.rs
@@ -1,4 +1,4 @@
-//! The leader's view of each worker: its lease and what its node reported last.
+//! The leader's view of each worker: its lease and the newest report of its node.
 
 use std::{
     cell::Cell,
@@ -12,42 +12,42 @@
     prelude::*,
 };
 
-/// What the leader keeps of one lifetime of a worker.
+/// The leader's state of one worker incarnation.
 #[derive(Clone, Debug)]
 pub struct Session {
     pub node: SocketAddr,
-    /// No run placed on the worker outlives this, whatever the node does.
+    /// Time by which all runs on the worker have ended, even if its node is unreachable.
     pub lease_expires_ms: u64,
     pub last_report_ms: u64,
-    /// Number and clock of the node's newest report, and the run of the node that sent it.
+    /// Number of the node process that sent the newest report.
     pub boot: u64,
     pub report_number: u64,
+    /// When the newest report was sent, by the node's clock.
     pub report_sent_ms: u64,
     pub report: Option<WorkerReport>,
     pub health: WorkerHealth,
-    /// The runs that the newest report lists.
+    /// The runs in the newest report.
     pub monitored_runs: HashMap<RunRef, RunMonitor>,
-    /// The runs held there that a report has listed as running so far.
+    /// The runs of the worker in the ledger that any report has listed as running.
     pub ever_listed_runs: HashSet<RunRef>,
-    /// Those that the newest report lists, and that are fillers and slow.
+    /// The slow fillers in the newest report.
     pub slow_fillers: Vec<SlowRun>,
-    /// Costs that the node was last told, and when.
+    /// Costs last sent to the node.
     pub sent_costs: Vec<ImageCost>,
     pub costs_sent_ms: u64,
-    /// How many grants were sent.
     pub grants_sent: u64,
-    /// Highest end proposed for the ledger.
+    /// Highest cursor of the ends proposed for the ledger.
     pub proposed_cursor: u64,
-    /// A dismissal was proposed.
+    /// Whether the worker's dismissal was decided.
     pub is_being_dismissed: bool,
 }
 
-/// A filler that works slowly where it is.
+/// A filler that runs slowly on its worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowRun {
     pub run: RunRef,
     pub worker: WorkerId,
-    /// Share of its full speed.
+    /// Present speed as a share of its full speed.
     pub speed_share: f64,
     pub progress_percent: u32,
 }
@@ -56,15 +56,15 @@
 #[derive(Debug, Default)]
 pub(super) struct Sessions {
     sessions: BTreeMap<WorkerId, Session>,
-    /// The sessions beside each node: one, but for an instant while another lifetime enrols.
+    /// The sessions of each node: one, or more while a new incarnation is enrolled.
     by_node: HashMap<SocketAddr, Vec<WorkerId>>,
-    /// The workers with fillers that are slow by their newest report.
-    with_slow: BTreeSet<WorkerId>,
-    newest: HashMap<SocketAddr, NewestReport>,
-    /// No lease is over before this. A lease is only ever prolonged, so that all of them are
-    /// looked at once a lease, and not at each event.
+    /// The workers with slow fillers in their newest report.
+    with_slow_fillers: BTreeSet<WorkerId>,
+    newest_reports: HashMap<SocketAddr, NewestReport>,
+    /// Lower bound of all lease expiries. Leases are only ever extended, so a full scan is needed
+    /// once per lease duration and not at each event.
     expiry_bound_ms: u64,
-    /// How many sessions were looked at so far in walks over all of them.
+    /// Number of sessions visited so far in full scans.
     rows_visited: Cell<u64>,
 }
 
@@ -106,17 +106,17 @@
         };
     }
 
-    /// Notes a report; returns whether it is newer than what its node sent before.
+    /// Notes a report; returns whether it is newer than all earlier ones of its node.
     ///
-    /// One that went over a connection which is given up may come late, and name a lifetime that has
-    /// long been replaced: it must not take the place of the one that is there. Tasks of that one
-    /// began again elsewhere while they ran.
+    /// A report from an abandoned connection may arrive late and name an incarnation that was
+    /// replaced long ago. Were it accepted, the present incarnation would be marked as lost, and
+    /// its tasks would begin again elsewhere while they still run.
     pub(super) fn note_report(&mut self, it: &NodeReport) -> bool {
-        let Some(newest) = self.newest.get_mut(&it.node) else {
-            self.newest.insert(it.node, NewestReport::new(it));
+        let Some(newest_report) = self.newest_reports.get_mut(&it.node) else {
+            self.newest_reports.insert(it.node, NewestReport::new(it));
             return true;
         };
-        newest.note(it)
+        newest_report.note(it)
     }
 
     pub(super) fn get(&self, id: WorkerId) -> Option<&Session> {
@@ -127,45 +127,49 @@
         self.sessions.get_mut(&id)
     }
 
-    /// Returns how many sessions were looked at so far in walks over all of them.
+    /// Returns the number of sessions visited so far in full scans.
     pub(super) fn rows_visited(&self) -> u64 {
         self.rows_visited.get()
     }
 
-    fn note_walk(&self) {
+    fn note_full_scan(&self) {
         self.rows_visited.set(self.rows_visited.get() + self.sessions.len() as u64);
     }
 
-    /// Drops a session.
     pub(super) fn drop(&mut self, id: WorkerId) {
         let Some(session) = self.sessions.remove(&id) else { return };
-        self.with_slow.remove(&id);
-        if let Some(beside) = self.by_node.get_mut(&session.node) {
-            beside.retain(|it| *it != id);
-            if beside.is_empty() {
+        self.with_slow_fillers.remove(&id);
+        if let Some(ids) = self.by_node.get_mut(&session.node) {
+            ids.retain(|it| *it != id);
+            if ids.is_empty() {
                 self.by_node.remove(&session.node);
             }
         }
     }
 
-    /// Drops the sessions beside a node whose workers have left the ledger; returns these.
-    pub(super) fn drop_beside(&mut self, node: SocketAddr, workflows: &Workflows) -> Vec<WorkerId> {
-        let beside = self.by_node.get(&node).cloned().unwrap_or_default();
+    /// Drops the sessions of a node whose workers are no longer in the ledger; returns their ids.
+    pub(super) fn drop_gone_at_node(
+        &mut self,
+        node: SocketAddr,
+        workflows: &Workflows,
+    ) -> Vec<WorkerId> {
+        let ids = self.by_node.get(&node).cloned().unwrap_or_default();
         let is_gone = |it: &WorkerId| workflows.workers().get(*it).is_none();
-        let gone: Vec<_> = beside.into_iter().filter(is_gone).collect();
+        let gone: Vec<_> = ids.into_iter().filter(is_gone).collect();
         gone.iter().for_each(|it| self.drop(*it));
         gone
     }
 
-    /// Notes whether a worker has fillers that are slow.
-    pub(super) fn note_slow(&mut self, id: WorkerId) {
+    /// Updates whether a worker has slow fillers.
+    pub(super) fn update_slow(&mut self, id: WorkerId) {
         match self.get(id).is_some_and(|it| !it.slow_fillers.is_empty()) {
-            true => self.with_slow.insert(id),
-            false => self.with_slow.remove(&id),
+            true => self.with_slow_fillers.insert(id),
+            false => self.with_slow_fillers.remove(&id),
         };
     }
 
-    /// Returns when a lease may be over; nothing is by then where all were prolonged meanwhile.
+    /// Returns the earliest time at which a lease may expire. None may have expired by then, if all
+    /// were extended in the meantime.
     pub(super) fn next_expiry_ms(&self) -> u64 {
         if self.sessions.is_empty() { u64::MAX } else { self.expiry_bound_ms }
     }
@@ -174,7 +178,7 @@
         if now_ms < self.next_expiry_ms() {
             return Vec::new();
         }
-        self.note_walk();
+        self.note_full_scan();
         let mut res = Vec::new();
         self.expiry_bound_ms = u64::MAX;
         for (id, it) in self.sessions.iter_mut().filter(|(_, it)| !it.is_being_dismissed) {
@@ -189,42 +193,44 @@
         res
     }
 
-    /// Returns the fillers that are slow on workers that can be told to stop them, the slowest
-    /// first, which hold up their workflows longest.
+    /// Returns the slow fillers on usable workers, the slowest first, since these delay their
+    /// workflows longest.
     pub(super) fn slow_runs(
         &self,
         workflows: &Workflows,
-        is_usable: UsabilityCriteria,
+        criteria: UsabilityCriteria,
     ) -> Vec<SlowRun> {
-        let with_slow = self.with_slow.iter().filter_map(|id| Some((id, self.get(*id)?)));
-        let usability = with_slow.filter(|(_, it)| it.is_usable(is_usable));
-        let placed = |it: &SlowRun| {
+        let with_slow_fillers =
+            self.with_slow_fillers.iter().filter_map(|id| Some((id, self.get(*id)?)));
+        let usable = with_slow_fillers.filter(|(_, it)| it.is_usable(criteria));
+        let is_placed = |it: &SlowRun| {
             let worker = workflows.workers().get(it.worker);
             worker.is_some_and(|worker| worker.runs.contains(&it.run))
         };
-        let mut res: Vec<_> = usability.flat_map(|(_, it)| it.slow_now()).filter(placed).collect();
+        let mut res: Vec<_> =
+            usable.flat_map(|(_, it)| it.slow_not_evicted()).filter(is_placed).collect();
         res.sort_by(|a, b| a.speed_share.total_cmp(&b.speed_share));
         res
     }
 
     /// Returns whether new runs may be placed on a worker.
-    pub(super) fn is_usable(&self, id: WorkerId, usability: UsabilityCriteria) -> bool {
-        self.get(id).is_some_and(|it| it.is_usable(usability))
+    pub(super) fn is_usable(&self, id: WorkerId, criteria: UsabilityCriteria) -> bool {
+        self.get(id).is_some_and(|it| it.is_usable(criteria))
     }
 }
 
-/// The newest report of a node.
+/// Identifies the newest report of a node.
 #[derive(Debug)]
 struct NewestReport {
-    /// The process of the node that sent it.
+    /// Number of the node process that sent the report.
     boot: u64,
     number: u64,
-    /// Processes before that one, the last of them last.
+    /// Numbers of earlier node processes, the newest last.
     past_boots: VecDeque<u64>,
 }
 
-/// Processes of a node that are remembered as over: a report is held up for less time than it takes
-/// so many to start.
+/// Number of earlier processes of a node that are remembered: a report is delayed for less time
+/// than a node takes for this many restarts.
 const PAST_BOOTS_MAX: usize = 8;
 
 impl NewestReport {
@@ -232,8 +238,7 @@
         NewestReport { boot: it.boot, number: it.number, past_boots: VecDeque::new() }
     }
 
-    /// Takes in a report; returns whether it is newer. Numbers of processes tell nothing of their
-    /// order.
+    /// Notes a report; returns whether it is newer. The numbers of node processes have no order.
     fn note(&mut self, it: &NodeReport) -> bool {
         let is_newest = match it.boot == self.boot {
             true => self.number < it.number,
@@ -253,37 +258,37 @@
     }
 }
 
-/// What makes a worker fit for new runs.
+/// Conditions under which a worker takes new runs.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UsabilityCriteria {
     pub term: u64,
-    /// Silence after which nothing new is placed on it.
+    /// Time without a report after which no new runs are placed on a worker.
     pub silent_ms: u64,
     pub now: Now,
 }
 
 impl Session {
-    /// Returns whether it was heard of lately under this term and is not leaving.
+    /// Returns whether the worker is healthy, not leaving, and has reported recently in this term.
     fn is_usable(&self, it: UsabilityCriteria) -> bool {
-        let reports = |report: &WorkerReport| report.term == it.term && !report.draining;
-        self.report.as_ref().is_some_and(reports)
+        let is_current = |report: &WorkerReport| report.term == it.term && !report.draining;
+        self.report.as_ref().is_some_and(is_current)
             && !self.is_being_dismissed
             && self.health.is_healthy(it.now.mono_ms)
             && it.now.mono_ms < self.last_report_ms + it.silent_ms
     }
 
-    fn slow_now(&self) -> impl Iterator<Item = SlowRun> {
-        let is_told = |run: RunRef| self.monitored_runs.get(&run).is_none_or(|it| it.evicted);
-        self.slow_fillers.iter().copied().filter(move |it| !is_told(it.run))
+    fn slow_not_evicted(&self) -> impl Iterator<Item = SlowRun> {
+        let is_stopping = |run: RunRef| self.monitored_runs.get(&run).is_none_or(|it| it.evicted);
+        self.slow_fillers.iter().copied().filter(move |it| !is_stopping(it.run))
     }
 
-    /// Marks a run that the worker is told to stop; returns whether it was not marked before.
+    /// Marks a run to be stopped; returns whether it was listed and not marked before.
     pub(super) fn evict(&mut self, run: RunRef) -> bool {
-        let watch = self.monitored_runs.get_mut(&run);
-        watch.is_some_and(|it| !std::mem::replace(&mut it.evicted, true))
+        let monitor = self.monitored_runs.get_mut(&run);
+        monitor.is_some_and(|it| !std::mem::replace(&mut it.evicted, true))
     }
 
-    /// Returns whether a run that is listed is told to stop.
+    /// Returns whether a listed run is marked to be stopped.
     pub(super) fn is_evicted(&self, run: RunRef) -> bool {
         self.monitored_runs.get(&run).is_some_and(|it| it.evicted)
     }
