--- a/src/control/log/disk.rs
+++ b/src/control/log/disk.rs
@@ -1,7 +1,7 @@
 //! The data folder of a control member.
 //!
-//! `identity` says which disk this is, `snapshot-N` holds the state at index N, and `log-N` the
-//! records written since. A file counts only once it is synced, and its folder with it.
+//! The file `identity` identifies the disk, `snapshot-N` holds the state at index N, and `log-N` the
+//! records written after it. A file is valid only once it and its folder are synced.
 
 use std::{
     fs::{self, File, OpenOptions},
@@ -19,30 +19,30 @@
     util::{Place, checksum},
 };
 
-const FORMAT: u32 = 1;
+const IDENTITY_FORMAT: u32 = 1;
 
-/// Identities of members that join; founders that are known by their address lie above.
+/// Identities of members that join; those derived from the addresses of founders are higher.
 const JOINER_IDS: std::ops::Range<u64> = 1 << 20..1 << 52;
 
-/// Returns the identity of a founder that all founders derive from its address.
+/// Derives a founder's identity from its address, so that all founders compute the same one.
 fn founder_id(address: std::net::SocketAddr) -> MemberId {
     let digest = crate::util::digest_of(&[address.to_string().as_bytes()]);
     MemberId((1 << 52) | (digest & ((1 << 52) - 1)))
 }
 
-/// Which disk this is, written once by `aspenrail init`.
+/// Identity of a disk, written once when its data folder is created.
 ///
-/// A disk that was lost comes back under a new identity: its votes and acknowledgements are
-/// gone, and a member that forgot what it promised must not be taken for the old one.
+/// The replacement of a lost disk gets a new identity: the votes and acknowledgements of the old one
+/// are gone, and a member without them must not be mistaken for the old member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Identity {
     pub member: MemberId,
     pub group_id: Place,
-    /// The founding members; empty for one that joins a running group.
+    /// Founding members; empty for a member that joins a running group.
     pub founders: Vec<Member>,
 }
 
-/// The exclusive lock on a data folder, held while it lives.
+/// Exclusive lock on a data folder, released on drop.
 #[derive(Debug)]
 pub struct DiskLock {
     _file: File,
@@ -56,7 +56,7 @@
     path: PathBuf,
     size_bytes: u64,
     durable_bytes: u64,
-    /// Writes of the newest call that are durable though it failed.
+    /// Number of writes that are durable although the latest [`Disk::write`] failed.
     durable_write_count: usize,
     hard_state: HardState,
     free_min_bytes: u64,
@@ -64,37 +64,37 @@
 }
 
 impl Identity {
-    /// Writes a new data folder.
+    /// Creates a data folder with this identity.
     ///
     /// # Errors
     ///
-    /// Returns an error when the folder holds an identity already or cannot be written.
+    /// Returns an error when the folder already has an identity or cannot be written.
     pub fn create(&self, folder: &Path) -> Result<()> {
         let path = folder.join("identity");
         if path.exists() {
             let message =
-                format_compact!("data folder {} has an identity already", folder.display());
+                format_compact!("data folder {} already has an identity", folder.display());
             return Err(Error::report(ErrorKind::BadRequest, message));
         }
-        fs::create_dir_all(folder).change_context_lazy(|| cannot("make", folder))?;
+        fs::create_dir_all(folder).change_context_lazy(|| io_error("make", folder))?;
         let founders: Vec<_> =
             self.founders.iter().map(|it| format!("{}@{}", it.id.0, it.address)).collect();
         let mut file = Ini::new();
         file.with_section(Some("identity"))
-            .set("format", FORMAT.to_string())
+            .set("format", IDENTITY_FORMAT.to_string())
             .set("member", self.member.0.to_string())
             .set("region", self.group_id.region.to_string())
             .set("group", self.group_id.group.to_string())
             .set("founders", founders.join(","));
         let mut text = Vec::new();
-        file.write_to(&mut text).change_context_lazy(|| cannot("write", &path))?;
+        file.write_to(&mut text).change_context_lazy(|| io_error("write", &path))?;
         replace_file(folder, "identity", &text)
     }
 
-    /// Reads the identity of a data folder, or makes one for a folder that has none.
+    /// Reads the identity of a data folder, or creates one if the folder has none.
     ///
-    /// A process among the `founders` founds the group with them under an identity that all of
-    /// them know from its address; any other gets one that nobody has had before, and joins.
+    /// If `own` is among the `founders`, the process founds the group with them, under an identity
+    /// derived from its address. Otherwise it gets a random identity and joins the group.
     ///
     /// # Errors
     ///
@@ -108,10 +108,10 @@
         if folder.join("identity").exists() {
             return Identity::read(folder);
         }
-        let founder = |it: &std::net::SocketAddr| Member { id: founder_id(*it), address: *it };
+        let member_of = |it: &std::net::SocketAddr| Member { id: founder_id(*it), address: *it };
         let identity = match founders.contains(&own) {
             true => {
-                let founders = founders.iter().map(founder).collect();
+                let founders = founders.iter().map(member_of).collect();
                 Identity { member: founder_id(own), group_id, founders }
             }
             false => {
@@ -127,7 +127,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when there is none, or its format is not known to this version.
+    /// Returns an error when there is none, its format is not supported, or a value is invalid.
     pub fn read(folder: &Path) -> Result<Identity> {
         let path = folder.join("identity");
         let file = Ini::load_from_file(&path).change_context_lazy(|| {
@@ -138,21 +138,24 @@
             Error::new(ErrorKind::BadRequest, message)
         })?;
         let value = |key: &str| -> Result<&str> {
-            file.get_from(Some("identity"), key).ok_or_else(|| bad_identity(&path, key, "missing"))
+            file.get_from(Some("identity"), key)
+                .ok_or_else(|| invalid_identity(&path, key, "missing"))
         };
         let number = |key: &str| -> Result<u64> {
             let text = value(key)?;
-            text.parse().map_err(|_| bad_identity(&path, key, text))
+            text.parse().map_err(|_| invalid_identity(&path, key, text))
         };
-        if number("format")? != u64::from(FORMAT) {
-            return Err(bad_identity(&path, "format", value("format")?));
+        if number("format")? != u64::from(IDENTITY_FORMAT) {
+            return Err(invalid_identity(&path, "format", value("format")?));
         }
         let mut founders = Vec::new();
-        for it in value("founders")?.split(',').filter(|it| !it.is_empty()) {
-            let (id, address) =
-                it.split_once('@').ok_or_else(|| bad_identity(&path, "founders", it))?;
-            let id = id.parse().map_err(|_| bad_identity(&path, "founders", it))?;
-            let address = address.parse().map_err(|_| bad_identity(&path, "founders", it))?;
+        for founder in value("founders")?.split(',').filter(|it| !it.is_empty()) {
+            let (id, address) = founder
+                .split_once('@')
+                .ok_or_else(|| invalid_identity(&path, "founders", founder))?;
+            let id = id.parse().map_err(|_| invalid_identity(&path, "founders", founder))?;
+            let address =
+                address.parse().map_err(|_| invalid_identity(&path, "founders", founder))?;
             founders.push(Member { id: MemberId(id), address });
         }
         let group_id = Place { region: number("region")? as u8, group: number("group")? as u8 };
@@ -165,10 +168,10 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when another process holds it.
+    /// Returns an error when another process holds the lock.
     pub fn acquire(folder: &Path) -> Result<DiskLock> {
         let path = folder.join("lock");
-        let file = File::create(&path).change_context_lazy(|| cannot("open", &path))?;
+        let file = File::create(&path).change_context_lazy(|| io_error("open", &path))?;
         let operation = rustix::fs::FlockOperation::NonBlockingLockExclusive;
         rustix::fs::flock(&file, operation).change_context_lazy(|| {
             let message =
@@ -180,27 +183,27 @@
 }
 
 impl Disk {
-    /// Opens a data folder and reads back what it kept.
+    /// Opens a data folder and recovers the durable state.
     ///
-    /// A torn tail is cut off: nothing in it was ever acknowledged.
+    /// A torn tail of the log is truncated: its records were never acknowledged.
     ///
     /// # Errors
     ///
-    /// Returns an error when the folder is locked, or when something that was durable can no
-    /// longer be read; the member must then not vote, since it may have forgotten a promise.
+    /// Returns an error when the folder is locked, or when data that was durable cannot be read. The
+    /// member must then not vote, because a vote or acknowledgement it gave may be lost.
     pub fn open(
         folder: &Path,
         identity: &Identity,
         free_min_bytes: u64,
     ) -> Result<(Disk, RecoveredState)> {
         let lock = DiskLock::acquire(folder)?;
-        let snapshot_index = newest(folder, "snapshot-")?;
-        let log_index = newest(folder, "log-")?;
+        let snapshot_index = newest_index(folder, "snapshot-")?;
+        let log_index = newest_index(folder, "log-")?;
         let mut recovered = RecoveredState {
             initial_members: Membership { voters: identity.founders.clone(), learners: Vec::new() },
             ..RecoveredState::default()
         };
-        // A snapshot is durable before the log that begins at it is made, so the log decides.
+        // A snapshot is durable before its log file is created, so the log's index selects it.
         if let Some(index) = log_index.or(snapshot_index).filter(|it| 0 < *it) {
             recovered.snapshot = Some(read_snapshot(&folder.join(format!("snapshot-{index}")))?);
         }
@@ -210,13 +213,13 @@
             .create(true)
             .append(true)
             .open(&path)
-            .change_context_lazy(|| cannot("open", &path))?;
+            .change_context_lazy(|| io_error("open", &path))?;
         if existed {
-            file.set_len(size_bytes).change_context_lazy(|| cannot("truncate", &path))?;
+            file.set_len(size_bytes).change_context_lazy(|| io_error("truncate", &path))?;
         }
         file.flush()
             .and_then(|()| file.sync_all())
-            .change_context_lazy(|| cannot("sync", &path))?;
+            .change_context_lazy(|| io_error("sync", &path))?;
         sync_folder(folder)?;
         let hard_state = recovered.hard_state;
         let disk = Disk {
@@ -233,21 +236,25 @@
         Ok((disk, recovered))
     }
 
-    /// Makes `writes` durable: one sync for all of them.
+    /// Makes all `writes` durable, with one sync unless they contain a snapshot.
     ///
     /// # Errors
     ///
-    /// Returns an error when a write or a sync fails. What is on the disk since the last sync is then
-    /// unknown (a second sync may report success for pages that were dropped): nothing may be written
-    /// but by [`Disk::retry_write`].
+    /// Returns an error when a write or a sync fails. Data written since the last sync is then in an
+    /// unknown state (a second sync may report success for pages that the kernel dropped): the next
+    /// write must go through [`Disk::retry_write`].
     pub fn write(&mut self, writes: &[DiskWrite]) -> Result<()> {
         self.durable_write_count = 0;
         let mut buffer = Vec::new();
-        for (at, it) in writes.iter().enumerate() {
-            match it {
-                DiskWrite::HardState(hard) => {
-                    self.hard_state = *hard;
-                    record::encode(&Record::HardState(*hard), self.durable_bytes, &mut buffer)?;
+        for (position, write) in writes.iter().enumerate() {
+            match write {
+                DiskWrite::HardState(hard_state) => {
+                    self.hard_state = *hard_state;
+                    record::encode(
+                        &Record::HardState(*hard_state),
+                        self.durable_bytes,
+                        &mut buffer,
+                    )?;
                 }
                 DiskWrite::Append(entries) => {
                     for entry in entries {
@@ -266,8 +273,8 @@
                 DiskWrite::Snapshot(snapshot) => {
                     self.append(&buffer)?;
                     buffer.clear();
-                    self.begin_at(snapshot)?;
-                    self.durable_write_count = at + 1;
+                    self.start_log_at(snapshot)?;
+                    self.durable_write_count = position + 1;
                 }
             }
         }
@@ -277,9 +284,9 @@
         Ok(())
     }
 
-    /// Makes durable what a failed [`Disk::write`] may have written in part.
+    /// Repeats a failed [`Disk::write`], whose data may be partly on the disk.
     ///
-    /// All since the last sync is cut off and written anew.
+    /// Truncates the log file to the last sync and writes the data again.
     ///
     /// # Errors
     ///
@@ -287,20 +294,21 @@
     pub fn retry_write(&mut self, writes: &[DiskWrite]) -> Result<()> {
         self.durable_write_count = 0;
         let reopen = || OpenOptions::new().append(true).open(&self.path);
-        self.file = reopen().change_context_lazy(|| cannot("open", &self.path))?;
-        let cut = self.file.set_len(self.durable_bytes);
-        cut.change_context_lazy(|| cannot("truncate", &self.path))?;
+        self.file = reopen().change_context_lazy(|| io_error("open", &self.path))?;
+        let truncated = self.file.set_len(self.durable_bytes);
+        truncated.change_context_lazy(|| io_error("truncate", &self.path))?;
         self.size_bytes = self.durable_bytes;
         self.write(writes)
     }
 
-    /// Returns how many writes of a call that failed are durable all the same: all before a log that
-    /// was begun anew.
+    /// Returns how many writes of a failed call are durable nevertheless: those up to the last snapshot
+    /// that started a new log file.
     pub fn durable_write_count(&self) -> usize {
         self.durable_write_count
     }
 
-    /// Notes that all before is durable, so that damage to it is never taken for a torn tail.
+    /// Records that all data so far is durable, so that corruption of it is not mistaken for a torn
+    /// tail.
     ///
     /// # Errors
     ///
@@ -312,28 +320,28 @@
         self.sync()
     }
 
-    /// Returns whether the disk has less free space than the settings ask for.
+    /// Returns whether the disk has less free space than the settings require.
     pub fn is_full(&self) -> bool {
         rustix::fs::fstatvfs(&self.file)
             .is_ok_and(|it| it.f_bavail * it.f_frsize < self.free_min_bytes)
     }
 
     fn append(&mut self, buffer: &[u8]) -> Result<()> {
-        self.file.write_all(buffer).change_context_lazy(|| cannot("write", &self.path))?;
+        self.file.write_all(buffer).change_context_lazy(|| io_error("write", &self.path))?;
         self.size_bytes += buffer.len() as u64;
         Ok(())
     }
 
     fn sync(&mut self) -> Result<()> {
         if self.durable_bytes != self.size_bytes {
-            self.file.sync_data().change_context_lazy(|| cannot("sync", &self.path))?;
+            self.file.sync_data().change_context_lazy(|| io_error("sync", &self.path))?;
             self.durable_bytes = self.size_bytes;
         }
         Ok(())
     }
 
-    /// Begins a new log file at a snapshot and removes what it replaces.
-    fn begin_at(&mut self, snapshot: &Snapshot) -> Result<()> {
+    /// Writes a snapshot, starts a new log file at its index and removes the files of other indexes.
+    fn start_log_at(&mut self, snapshot: &Snapshot) -> Result<()> {
         let index = snapshot.index;
         let mut data = vec![0; 4];
         bincode::serde::encode_into_std_write(snapshot, &mut data, bincode::config::standard())
@@ -348,13 +356,13 @@
         replace_file(&self.folder, &name, &start)?;
         let path = self.folder.join(name);
         let opened = OpenOptions::new().append(true).open(&path);
-        self.file = opened.change_context_lazy(|| cannot("open", &path))?;
+        self.file = opened.change_context_lazy(|| io_error("open", &path))?;
         self.path = path;
         self.size_bytes = start.len() as u64;
         self.durable_bytes = self.size_bytes;
         for prefix in ["snapshot-", "log-"] {
-            for old in indexes(&self.folder, prefix)?.into_iter().filter(|it| *it != index) {
-                // A file that stays behind is passed over at the next start.
+            for old in file_indexes(&self.folder, prefix)?.into_iter().filter(|it| *it != index) {
+                // A remaining file is ignored at the next start, which uses the newest index.
                 let _ = fs::remove_file(self.folder.join(format!("{prefix}{old}")));
             }
         }
@@ -362,12 +370,12 @@
     }
 }
 
-fn cannot(verb: &str, path: &Path) -> Error {
+fn io_error(verb: &str, path: &Path) -> Error {
     Error::new(ErrorKind::Internal, format_compact!("cannot {verb} {}", path.display()))
 }
 
-fn bad_identity(path: &Path, key: &str, value: &str) -> error_stack::Report<Error> {
-    let message = format_compact!("{}: key {key} has the unusable value '{value}'", path.display());
+fn invalid_identity(path: &Path, key: &str, value: &str) -> error_stack::Report<Error> {
+    let message = format_compact!("{}: key {key} has the invalid value '{value}'", path.display());
     Error::report(ErrorKind::BadRequest, message)
 }
 
@@ -382,29 +390,29 @@
     };
     let written = write();
     if written.is_err() {
-        // Part of a file takes room that may be what is missing; one that stays is replaced later.
+        // The partial file may take the missing disk space; one that remains is overwritten later.
         let _ = fs::remove_file(&temporary);
     }
-    written.change_context_lazy(|| cannot("write", &path))?;
+    written.change_context_lazy(|| io_error("write", &path))?;
     sync_folder(folder)
 }
 
 fn sync_folder(folder: &Path) -> Result<()> {
-    File::open(folder).and_then(|it| it.sync_all()).change_context_lazy(|| cannot("sync", folder))
+    File::open(folder).and_then(|it| it.sync_all()).change_context_lazy(|| io_error("sync", folder))
 }
 
-fn indexes(folder: &Path, prefix: &str) -> Result<Vec<u64>> {
-    let names = fs::read_dir(folder).change_context_lazy(|| cannot("list", folder))?;
+fn file_indexes(folder: &Path, prefix: &str) -> Result<Vec<u64>> {
+    let names = fs::read_dir(folder).change_context_lazy(|| io_error("list", folder))?;
     let names = names.filter_map(|it| it.ok()?.file_name().into_string().ok());
     Ok(names.filter_map(|it| it.strip_prefix(prefix)?.parse().ok()).collect())
 }
 
-fn newest(folder: &Path, prefix: &str) -> Result<Option<u64>> {
-    Ok(indexes(folder, prefix)?.into_iter().max())
+fn newest_index(folder: &Path, prefix: &str) -> Result<Option<u64>> {
+    Ok(file_indexes(folder, prefix)?.into_iter().max())
 }
 
 fn read_snapshot(path: &Path) -> Result<Snapshot> {
-    let data = fs::read(path).change_context_lazy(|| cannot("read", path))?;
+    let data = fs::read(path).change_context_lazy(|| io_error("read", path))?;
     let corrupt = || {
         let message = format_compact!(
             "{} is corrupt: this member must not vote; replace its disk",
@@ -424,19 +432,19 @@
     decoded.map(|(it, _)| it).map_err(|_| corrupt())
 }
 
-/// Reads the records of a log file; returns the size of its sound part and whether it existed.
+/// Replays the records of a log file; returns the size of its readable part and whether it existed.
 fn replay_log(path: &Path, recovered: &mut RecoveredState) -> Result<(u64, bool)> {
     let data = match fs::read(path) {
         Ok(it) => it,
         Err(it) if it.kind() == io::ErrorKind::NotFound => return Ok((0, false)),
-        Err(it) => return Err(it).change_context_lazy(|| cannot("read", path)),
+        Err(it) => return Err(it).change_context_lazy(|| io_error("read", path)),
     };
     let mut offset = 0;
-    while let Some(it) = record::decode(&data[offset..]) {
-        offset += it.size_bytes;
-        recovered.replay(it.record)?;
+    while let Some(decoded) = record::decode(&data[offset..]) {
+        offset += decoded.size_bytes;
+        recovered.replay(decoded.record)?;
     }
-    match record::judge_tail(&data, offset) {
+    match record::classify_tail(&data, offset) {
         LogTail::Whole => (),
         LogTail::Torn => {
             let torn_bytes = data.len() - offset;
--- a/src/control/log/mod.rs
+++ b/src/control/log/mod.rs
@@ -1,8 +1,8 @@
 //! The replicated log of one control group.
 //!
-//! [`Raft`] decides: it is given messages, time and the word that writes are durable, and gives
-//! back messages to send, writes to make and entries to apply. [`Disk`] keeps what it must not
-//! forget. Neither knows what a command means.
+//! [`Raft`] is the state machine of the protocol. Its inputs are messages, the time and the numbers
+//! of durable writes; its outputs are messages to send, writes for the disk and committed entries to
+//! apply. [`Disk`] stores the durable state. Neither interprets commands.
 
 mod disk;
 mod options;
--- a/src/control/log/options.rs
+++ b/src/control/log/options.rs
@@ -3,18 +3,18 @@
 /// Timing and batching of the replicated log.
 #[derive(Clone, Copy, Debug)]
 pub struct RaftOptions {
-    /// Least silence after which a voter stands for election; the most is twice that.
+    /// Minimum silence of the leader before a voter starts an election; the maximum is twice that.
     pub election_timeout_ms: u64,
     pub heartbeat_ms: u64,
-    /// Entries in one append.
+    /// Maximum number of entries in one append.
     pub batch_entries: usize,
-    /// Entries sent ahead of a member's last acknowledgement.
+    /// Entries that may be sent beyond the last one that a member acknowledged.
     pub window_entries: u64,
-    /// Entries kept behind a snapshot for members that lag a little.
+    /// Entries before a snapshot that are retained for members that lag slightly.
     pub retained_entries: u64,
-    /// Memory that they may take; a member that needs more gets the snapshot.
+    /// Memory limit of the retained entries; a member that needs older ones receives the snapshot.
     pub retained_bytes: usize,
-    /// Memory of entries at which a snapshot is taken.
+    /// Memory of the log entries at which a snapshot is taken.
     pub snapshot_bytes: usize,
     pub chunk_bytes: usize,
     /// Seed of the election jitter.
@@ -29,7 +29,7 @@
             batch_entries: 512,
             window_entries: 8_192,
             retained_entries: 2_000,
-            // A sixth and a third of what users want a control process to take at most.
+            // One sixth and one third of the users' memory limit for a control process.
             retained_bytes: 16 << 20,
             snapshot_bytes: 32 << 20,
             chunk_bytes: 256 * 1024,
--- a/src/control/log/progress.rs
+++ b/src/control/log/progress.rs
@@ -1,20 +1,21 @@
-//! What the leader knows of one member.
+//! Replication progress of one member, as tracked by the leader.
 
-/// What the leader knows of one member.
+/// Replication progress of one member, as tracked by the leader.
+/// Times are those of the leader's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Progress {
     pub match_index: u64,
     pub next_index: u64,
-    /// The leader's clock at the sending of the newest message that the member answered.
+    /// Sending time of the newest message that the member answered.
     pub acked_sent_ms: u64,
-    /// The leader's clock at the newest answer.
+    /// Arrival time of the newest answer.
     pub last_reply_ms: u64,
-    /// The same when it began to look after this member.
-    pub known_ms: u64,
-    /// The same when it last began to send entries again that the member turned out to miss.
-    /// Answers to what was sent before that tell nothing new.
+    /// Time at which the leader began to track this member.
+    pub tracked_since_ms: u64,
+    /// Time at which the leader last began to resend entries that the member lacked.
+    /// Rejections of earlier messages are outdated and ignored.
     pub resent_ms: u64,
-    /// Offset of the snapshot chunk under way, while one is.
+    /// Offset of the snapshot chunk being sent, during a snapshot transfer.
     pub snapshot_offset_bytes: Option<u64>,
     pub chunk_sent_ms: u64,
     pub in_force: u64,
@@ -27,7 +28,7 @@
             next_index,
             acked_sent_ms: 0,
             last_reply_ms: 0,
-            known_ms: now_ms,
+            tracked_since_ms: now_ms,
             resent_ms: 0,
             snapshot_offset_bytes: None,
             chunk_sent_ms: 0,
@@ -35,9 +36,9 @@
         }
     }
 
-    /// Returns for how long the member has not answered.
+    /// Returns the time since the member's newest answer, or since tracking began.
     pub(super) fn silent_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.last_reply_ms.max(self.known_ms))
+        now_ms.saturating_sub(self.last_reply_ms.max(self.tracked_since_ms))
     }
 
     pub(super) fn acknowledge(&mut self, match_index: u64) {
--- a/src/control/log/raft/election.rs
+++ b/src/control/log/raft/election.rs
@@ -1,4 +1,4 @@
-//! Elections, and the planned hand-over of leadership.
+//! Elections and planned leadership transfers.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 };
 
 impl Raft {
-    /// Hands leadership to the voter that is furthest ahead, for a planned stop.
+    /// Transfers leadership to a voter whose log is complete, for a planned stop.
     pub fn transfer_leadership(&mut self, now: Now) {
         if self.is_leader() && self.transfer_since_ms.is_none() {
             self.transfer_since_ms = Some(now.mono_ms);
@@ -19,32 +19,32 @@
         }
     }
 
-    pub(super) fn has_quorum(&self) -> bool {
+    pub(super) fn has_vote_quorum(&self) -> bool {
         let voters = &self.members().voters;
-        let given = voters.iter().filter(|it| self.votes.contains(&it.id)).count();
-        voters.len() / 2 < given
+        let granted = voters.iter().filter(|it| self.granted_votes.contains(&it.id)).count();
+        voters.len() / 2 < granted
     }
 
     pub(super) fn must_step_down(&self, now: Now) -> bool {
         let timeout_ms = self.options.election_timeout_ms;
         let silent_since_ms = self.quorum_acked_ms(now).max(self.leader_since_ms);
-        let handed_over_at_ms = self.transfer_since_ms.map(|it| it + timeout_ms * 2);
+        let transfer_deadline_ms = self.transfer_since_ms.map(|it| it + timeout_ms * 2);
         silent_since_ms + timeout_ms < now.mono_ms
-            || handed_over_at_ms.is_some_and(|it| it < now.mono_ms)
+            || transfer_deadline_ms.is_some_and(|it| it < now.mono_ms)
     }
 
-    pub(super) fn reset_election(&mut self, now: Now) {
+    pub(super) fn reset_election_timer(&mut self, now: Now) {
         let timeout_ms = self.options.election_timeout_ms;
         self.election_at_ms = now.mono_ms + timeout_ms + self.random.u64(0..timeout_ms);
     }
 
-    pub(super) fn follow(&mut self, now: Now, term: u64, leader: Option<MemberId>) {
+    pub(super) fn become_follower(&mut self, now: Now, term: u64, leader: Option<MemberId>) {
         if self.leader != leader {
-            // Another leader, another clock.
+            // The clocks of different leaders are not comparable.
             self.first_sent_ms = None;
         }
         if self.hard_state.term < term {
-            self.set_hard(HardState { term, vote: None });
+            self.set_hard_state(HardState { term, vote: None });
         }
         if self.role == Role::Leader || self.leader != leader {
             self.incoming_snapshot = None;
@@ -54,22 +54,22 @@
         self.progress.clear();
         self.transfer_since_ms = None;
         self.transfer_sent = false;
-        self.reset_election(now);
+        self.reset_election_timer(now);
     }
 
-    pub(super) fn stand(&mut self, now: Now, pre_vote: bool, transfer: bool) {
-        self.reset_election(now);
+    pub(super) fn start_election(&mut self, now: Now, pre_vote: bool, transfer: bool) {
+        self.reset_election_timer(now);
         self.leader = None;
-        self.votes = BTreeSet::from([self.id]);
+        self.granted_votes = BTreeSet::from([self.id]);
         let term = self.hard_state.term + 1;
         if pre_vote {
             self.role = Role::PreCandidate;
         } else {
             self.role = Role::Candidate;
-            self.set_hard(HardState { term, vote: Some(self.id) });
+            self.set_hard_state(HardState { term, vote: Some(self.id) });
         }
-        if pre_vote && self.has_quorum() {
-            return self.stand(now, false, transfer);
+        if pre_vote && self.has_vote_quorum() {
+            return self.start_election(now, false, transfer);
         }
         let last_index = self.last_index();
         let last_term = self.term_at(last_index).unwrap_or(0);
@@ -77,11 +77,11 @@
         let voters: Vec<_> =
             self.members().voters.iter().map(|it| it.id).filter(|it| *it != self.id).collect();
         for to in voters {
-            self.send_durable(to, RaftBody::Vote(request));
+            self.send_when_durable(to, RaftBody::Vote(request));
         }
     }
 
-    pub(super) fn lead(&mut self, now: Now) {
+    pub(super) fn become_leader(&mut self, now: Now) {
         self.role = Role::Leader;
         self.leader = Some(self.id);
         self.leader_since_ms = now.mono_ms;
@@ -89,7 +89,7 @@
         self.transfer_sent = false;
         self.progress.clear();
         self.refresh_progress(now);
-        // Nothing of earlier terms counts as committed until an entry of this term is.
+        // Entries of earlier terms count as committed only once an entry of this term is.
         if self.propose(now, EntryBody::Noop).is_ok() {
             self.broadcast(now);
         }
@@ -104,70 +104,77 @@
             })
         });
         if let Some(to) = ready {
-            // Once this was sent another may lead at any moment, so the lease never comes back
-            // in this term; a leader whose offer got lost steps down instead.
+            // After this message another member may become leader at any moment, so the lease is
+            // not regained in this term. If the message is lost, this leader steps down.
             self.transfer_sent = true;
             self.send_now(to, RaftBody::TimeoutNow(TimeoutNow { term: self.hard_state.term }));
         }
     }
 
-    pub(super) fn on_vote(&mut self, now: Now, from: MemberId, it: VoteRequest) {
-        let barred = now.mono_ms < self.vote_blocked_until_ms && !it.transfer;
-        let leads = self.is_leader() && !it.transfer;
-        if barred || leads || it.term < self.hard_state.term {
-            let reply =
-                VoteReply { term: self.hard_state.term, granted: false, pre_vote: it.pre_vote };
-            return self.send_durable(from, RaftBody::VoteReply(reply));
+    pub(super) fn on_vote(&mut self, now: Now, from: MemberId, request: VoteRequest) {
+        let is_blocked = now.mono_ms < self.vote_blocked_until_ms && !request.transfer;
+        let keeps_leading = self.is_leader() && !request.transfer;
+        if is_blocked || keeps_leading || request.term < self.hard_state.term {
+            let reply = VoteReply {
+                term: self.hard_state.term,
+                granted: false,
+                pre_vote: request.pre_vote,
+            };
+            return self.send_when_durable(from, RaftBody::VoteReply(reply));
         }
         let last_index = self.last_index();
-        let own = (self.term_at(last_index).unwrap_or(0), last_index);
-        let up_to_date = own <= (it.last_term, it.last_index);
-        if it.pre_vote {
-            let granted = up_to_date && self.hard_state.term < it.term;
-            // A denial carries this member's own term: the asked one was never begun.
-            let term = if granted { it.term } else { self.hard_state.term };
+        let own_last = (self.term_at(last_index).unwrap_or(0), last_index);
+        let up_to_date = own_last <= (request.last_term, request.last_index);
+        if request.pre_vote {
+            let granted = up_to_date && self.hard_state.term < request.term;
+            // A denial carries this member's own term, as a pre-vote does not start the new one.
+            let term = if granted { request.term } else { self.hard_state.term };
             let reply = VoteReply { term, granted, pre_vote: true };
-            return self.send_durable(from, RaftBody::VoteReply(reply));
+            return self.send_when_durable(from, RaftBody::VoteReply(reply));
         }
-        if self.hard_state.term < it.term {
-            self.follow(now, it.term, None);
+        if self.hard_state.term < request.term {
+            self.become_follower(now, request.term, None);
         }
-        let free = self.hard_state.vote.is_none() || self.hard_state.vote == Some(from);
-        let granted = up_to_date && free && self.role == Role::Follower;
+        let can_vote = self.hard_state.vote.is_none() || self.hard_state.vote == Some(from);
+        let granted = up_to_date && can_vote && self.role == Role::Follower;
         if granted {
-            self.set_hard(HardState { term: it.term, vote: Some(from) });
-            self.reset_election(now);
+            self.set_hard_state(HardState { term: request.term, vote: Some(from) });
+            self.reset_election_timer(now);
         }
         let reply = VoteReply { term: self.hard_state.term, granted, pre_vote: false };
-        self.send_durable(from, RaftBody::VoteReply(reply));
+        self.send_when_durable(from, RaftBody::VoteReply(reply));
     }
 
-    pub(super) fn on_vote_reply(&mut self, now: Now, from: MemberId, it: VoteReply) {
+    pub(super) fn on_vote_reply(&mut self, now: Now, from: MemberId, reply: VoteReply) {
         match self.role {
             Role::PreCandidate
-                if it.pre_vote && it.granted && it.term == self.hard_state.term + 1 =>
+                if reply.pre_vote && reply.granted && reply.term == self.hard_state.term + 1 =>
             {
-                self.votes.insert(from);
-                if self.has_quorum() {
-                    self.stand(now, false, false);
+                self.granted_votes.insert(from);
+                if self.has_vote_quorum() {
+                    self.start_election(now, false, false);
                 }
             }
-            Role::Candidate if !it.pre_vote && it.granted && it.term == self.hard_state.term => {
-                self.votes.insert(from);
-                if self.has_quorum() {
-                    self.lead(now);
+            Role::Candidate
+                if !reply.pre_vote && reply.granted && reply.term == self.hard_state.term =>
+            {
+                self.granted_votes.insert(from);
+                if self.has_vote_quorum() {
+                    self.become_leader(now);
                 }
             }
-            _ if !it.granted && self.hard_state.term < it.term => self.follow(now, it.term, None),
+            _ if !reply.granted && self.hard_state.term < reply.term => {
+                self.become_follower(now, reply.term, None)
+            }
             _ => (),
         }
     }
 
     pub(super) fn accept_leader(&mut self, now: Now, from: MemberId, term: u64) {
         if self.hard_state.term < term || self.role != Role::Follower || self.leader != Some(from) {
-            self.follow(now, term, Some(from));
+            self.become_follower(now, term, Some(from));
         }
-        self.reset_election(now);
+        self.reset_election_timer(now);
         self.vote_blocked_until_ms = now.mono_ms + self.options.election_timeout_ms;
     }
 }
--- a/src/control/log/raft/membership.rs
+++ b/src/control/log/raft/membership.rs
@@ -1,4 +1,4 @@
-//! Who belongs to the group, and how it changes by one member at a time.
+//! Membership of the group, which changes by one member at a time.
 
 use std::collections::BTreeSet;
 
@@ -16,52 +16,52 @@
         &self.memberships.back().expect("the first membership is never removed").1
     }
 
-    /// Returns the address of a member in force.
+    /// Returns the address of a member of the membership in force.
     pub fn address_of(&self, id: MemberId) -> Option<std::net::SocketAddr> {
         let members = self.members();
         members.voters.iter().chain(&members.learners).find(|it| it.id == id).map(|it| it.address)
     }
 
-    /// Proposes one change of membership.
+    /// Proposes a membership change.
     ///
     /// # Errors
     ///
-    /// Returns why the change is refused; nothing has changed then.
+    /// Returns the reason when the change is rejected; the membership is then unchanged.
     pub fn change_members(&mut self, now: Now, change: MemberChange) -> Result<u64, ProposeError> {
         if !self.is_leader() {
             return Err(ProposeError::NotLeader);
         }
-        let (changed_at, current) =
+        let (changed_index, current) =
             self.memberships.back().cloned().expect("a membership is always known");
-        if self.commit_index < changed_at
+        if self.commit_index < changed_index
             || self.term_at(self.commit_index) != Some(self.hard_state.term)
         {
             return Err(ProposeError::MembershipBusy);
         }
         let mut members = current;
         match change {
-            MemberChange::Add(it) => {
+            MemberChange::Add(member) => {
                 let mut all = members.voters.iter().chain(&members.learners);
-                if all.any(|other| other.id == it.id || other.address == it.address) {
+                if all.any(|other| other.id == member.id || other.address == member.address) {
                     return Err(ProposeError::MembershipUnsafe(
                         "a member with this identity or address exists: remove it first",
                     ));
                 }
-                members.learners.push(it);
+                members.learners.push(member);
             }
             MemberChange::Promote(id) => {
-                let Some(at) = members.learners.iter().position(|it| it.id == id) else {
+                let Some(position) = members.learners.iter().position(|it| it.id == id) else {
                     return Err(ProposeError::MembershipUnsafe("it is not a learner"));
                 };
-                // A voter that lacks committed entries would count towards a quorum that holds
-                // fewer copies than promised; a loss right after the repair could then lose one.
+                // A voter that lacks committed entries would count towards the quorum although fewer
+                // copies exist than promised; a disk loss soon after could then lose an entry.
                 let caught_up = self.progress.get(&id).is_some_and(|it| {
                     self.commit_index <= it.match_index && self.has_replied_recently(it, now)
                 });
                 if !caught_up {
                     return Err(ProposeError::MembershipUnsafe("the learner has not caught up"));
                 }
-                let member = members.learners.remove(at);
+                let member = members.learners.remove(position);
                 members.voters.push(member);
             }
             MemberChange::Remove(id) => {
@@ -70,19 +70,19 @@
                         "it leads: stop it first, so that it hands over",
                     ));
                 }
-                let before = members.voters.len() + members.learners.len();
+                let count_before = members.voters.len() + members.learners.len();
                 members.voters.retain(|it| it.id != id);
                 members.learners.retain(|it| it.id != id);
-                if members.voters.len() + members.learners.len() == before {
+                if members.voters.len() + members.learners.len() == count_before {
                     return Err(ProposeError::MembershipUnsafe("no such member"));
                 }
             }
         }
-        let live = members.voters.iter().filter(|it| {
+        let live_voters = members.voters.iter().filter(|it| {
             it.id == self.id
                 || self.progress.get(&it.id).is_some_and(|it| self.has_replied_recently(it, now))
         });
-        if live.count() < members.voters.len() / 2 + 1 {
+        if live_voters.count() < members.voters.len() / 2 + 1 {
             return Err(ProposeError::MembershipUnsafe(
                 "the voters left would have no live majority",
             ));
@@ -93,7 +93,8 @@
     }
 
     pub(super) fn members_at(&self, index: u64) -> Membership {
-        let found = self.memberships.iter().rev().find(|(at, _)| *at <= index);
+        let found =
+            self.memberships.iter().rev().find(|(changed_index, _)| *changed_index <= index);
         found
             .or(self.memberships.front())
             .map(|(_, it)| it.clone())
@@ -104,8 +105,8 @@
         self.members().voters.iter().any(|it| it.id == id)
     }
 
-    pub(super) fn has_replied_recently(&self, it: &Progress, now: Now) -> bool {
-        now.mono_ms < it.last_reply_ms + self.options.election_timeout_ms
+    pub(super) fn has_replied_recently(&self, progress: &Progress, now: Now) -> bool {
+        now.mono_ms < progress.last_reply_ms + self.options.election_timeout_ms
     }
 
     /// Returns the sending time of the newest message that a majority has answered.
--- a/src/control/log/raft/mod.rs
+++ b/src/control/log/raft/mod.rs
@@ -1,10 +1,10 @@
-//! Leader-based agreement on the order of commands.
+//! Consensus on the order of commands.
 //!
-//! The published leader-based scheme (terms, votes, log matching) with four additions: a
-//! pre-vote, so that a member back from a long silence disturbs nobody; a check of the quorum,
-//! so that a cut-off leader steps down by itself; a lease, so that the leader answers reads and
-//! renews agents' leases without a round trip; and writes that overlap with replication, where
-//! a message that promises durability waits until the disk has said so.
+//! Implements Raft (terms, votes, log matching) with four additions: a pre-vote, so that a member
+//! that was long unreachable does not disrupt the group; a quorum check, so that an isolated leader
+//! steps down by itself; a leader lease, so that the leader answers reads and renews agents' leases
+//! without a round trip; and disk writes that overlap with replication, where a message that promises
+//! durability is deferred until the disk has synced.
 
 mod election;
 mod membership;
@@ -20,12 +20,12 @@
     control::log::{
         options::RaftOptions,
         progress::Progress,
-        record::{DiskWrite, HardState, RecoveredState, Snapshot, weight_bytes},
+        record::{DiskWrite, HardState, RecoveredState, Snapshot, estimated_bytes},
     },
     prelude::*,
 };
 
-/// The part that a member plays in its term.
+/// Role of a member in its current term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Follower,
@@ -34,29 +34,29 @@
     Leader,
 }
 
-/// Why a proposal was not taken; it is in no log.
+/// Why a proposal was rejected; it was not appended to any log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposeError {
     NotLeader,
-    /// Leadership is being handed over.
+    /// A leadership transfer is in progress.
     HandingOver,
-    /// Another change of membership is under way, or this leader has committed nothing yet.
+    /// Another membership change is in progress, or this leader has not committed an entry of its term.
     MembershipBusy,
     /// The change would leave the group without a live majority.
     MembershipUnsafe(&'static str),
 }
 
-/// What the state machine is to take in next.
+/// Input for the state machine, in log order.
 #[derive(Clone, Debug)]
 pub enum Committed {
     Entry(Arc<LogEntry>),
-    /// Replaces the whole state.
+    /// Replaces the entire state.
     Snapshot(Arc<Snapshot>),
 }
 
-/// Longest time for which a leader gathers entries while its disk syncs: a little more than a sync
-/// takes on the users' disks, so that a slower disk of the leader's own holds up no others.
-const GATHERED_MS: u64 = 8;
+/// Maximum time for which a leader gathers entries while its disk syncs. Slightly longer than a sync
+/// on the users' disks, so that a slow disk of the leader does not delay the other members.
+const GATHER_MAX_MS: u64 = 8;
 
 /// One member of a control group.
 pub struct Raft {
@@ -67,9 +67,9 @@
     hard_state: HardState,
     role: Role,
     leader: Option<MemberId>,
-    /// Entries behind the snapshot point, oldest first.
+    /// Log entries after `base_index`, oldest first.
     entries: VecDeque<Arc<LogEntry>>,
-    /// About how much memory these take.
+    /// Estimated memory of `entries`.
     entries_bytes: usize,
     /// Index and term of the entry before the first of `entries`.
     base_index: u64,
@@ -79,51 +79,53 @@
     applied_index: u64,
     snapshots_to_install: VecDeque<Arc<Snapshot>>,
 
-    /// Memberships found in the log, newest last; the newest is in force, committed or not.
+    /// Memberships with their log indexes, newest last; the newest is in force, committed or not.
     memberships: VecDeque<(u64, Membership)>,
     progress: BTreeMap<MemberId, Progress>,
-    votes: BTreeSet<MemberId>,
-    /// Chunks of a snapshot under way to this member.
+    granted_votes: BTreeSet<MemberId>,
+    /// First chunk and data so far of a snapshot that this member is receiving.
     incoming_snapshot: Option<(SnapshotChunk, Vec<u8>)>,
 
     election_at_ms: u64,
     heartbeat_at_ms: u64,
-    /// Until then this member gives no vote, since a leader may rely on it.
+    /// Until then this member votes only for leadership transfers, as the leader's lease relies on it.
     vote_blocked_until_ms: u64,
     leader_since_ms: u64,
-    /// Set once the leader told another member to take over; it has no lease from then on.
+    /// Start of a leadership transfer; the leader has no lease from then on.
     transfer_since_ms: Option<u64>,
     transfer_sent: bool,
 
     in_force: Revision,
     caught_up: bool,
-    /// Leader's clock in the first message since the start, and the index to catch up to.
+    /// Leader's clock in its first append since this member started or followed it.
     first_sent_ms: Option<u64>,
+    /// Commit index that this member must apply to have caught up.
     catch_up_index: Option<u64>,
-    pending: Vec<DiskWrite>,
-    /// When a leader last let go of what it had gathered, and up to which entry.
+    pending_writes: Vec<DiskWrite>,
+    /// Time of the last [`Raft::take_writes`] with writes, and last index of the last flush.
     flushed_ms: u64,
     flushed_index: u64,
-    written: u64,
-    durable: u64,
+    last_write_number: u64,
+    durable_write_number: u64,
     durable_index: u64,
-    /// Writes on their way: number, and last index of the log after it.
-    in_flight: VecDeque<(u64, u64)>,
-    held: VecDeque<(u64, MemberId, RaftBody)>,
+    /// Writes that are not yet durable: number, and last log index after the write.
+    in_flight_writes: VecDeque<(u64, u64)>,
+    /// Messages that wait until the write of the given number is durable.
+    deferred_messages: VecDeque<(u64, MemberId, RaftBody)>,
     outbox: Vec<RaftMessage>,
 }
 
 impl Raft {
-    /// Makes a member from what its disk kept.
+    /// Creates a member from the state recovered from its disk.
     pub fn new(id: MemberId, recovered: RecoveredState, options: RaftOptions, now: Now) -> Raft {
         let (base_index, base_term, base_members) = match &recovered.snapshot {
             Some(it) => (it.index, it.term, it.members.clone()),
             None => (0, 0, recovered.initial_members),
         };
         let mut memberships = VecDeque::from([(base_index, base_members)]);
-        for it in &recovered.entries {
-            if let EntryBody::Members(members) = &it.body {
-                memberships.push_back((it.index, members.clone()));
+        for entry in &recovered.entries {
+            if let EntryBody::Members(members) = &entry.body {
+                memberships.push_back((entry.index, members.clone()));
             }
         }
         let last_index = base_index + recovered.entries.len() as u64;
@@ -135,7 +137,7 @@
             hard_state: recovered.hard_state,
             role: Role::Follower,
             leader: None,
-            entries_bytes: recovered.entries.iter().map(weight_bytes).sum(),
+            entries_bytes: recovered.entries.iter().map(estimated_bytes).sum(),
             entries: recovered.entries.into_iter().map(Arc::new).collect(),
             base_index,
             base_term,
@@ -145,12 +147,12 @@
             snapshot,
             memberships,
             progress: BTreeMap::new(),
-            votes: BTreeSet::new(),
+            granted_votes: BTreeSet::new(),
             incoming_snapshot: None,
             election_at_ms: 0,
             heartbeat_at_ms: 0,
-            // What this member promised before its restart is not known: it may have heard the
-            // leader an instant ago, so it must not help to depose it within the lease.
+            // This member may have received a message of the leader just before its restart, so it
+            // must not help to elect another one while the lease may be valid.
             vote_blocked_until_ms: now.mono_ms + options.election_timeout_ms,
             leader_since_ms: 0,
             transfer_since_ms: None,
@@ -159,17 +161,17 @@
             caught_up: false,
             first_sent_ms: None,
             catch_up_index: None,
-            pending: Vec::new(),
+            pending_writes: Vec::new(),
             flushed_ms: 0,
             flushed_index: 0,
-            written: 0,
-            durable: 0,
+            last_write_number: 0,
+            durable_write_number: 0,
             durable_index: last_index,
-            in_flight: VecDeque::new(),
-            held: VecDeque::new(),
+            in_flight_writes: VecDeque::new(),
+            deferred_messages: VecDeque::new(),
             outbox: Vec::new(),
         };
-        res.reset_election(now);
+        res.reset_election_timer(now);
         res
     }
 
@@ -205,78 +207,78 @@
         self.snapshot.as_ref().map_or(0, |it| it.index)
     }
 
-    /// Returns about how much memory the entries kept take.
+    /// Returns the estimated memory of the log entries.
     pub fn entries_bytes(&self) -> usize {
         self.entries_bytes
     }
 
-    /// Returns, for the leader, how far a member's log is known to match, how long ago it
-    /// answered, and the configuration revision in force there.
+    /// Returns the match index of a member, the time since its newest answer in ms, and the
+    /// configuration revision in force there. Other members are known to the leader only.
     pub fn progress_of(&self, id: MemberId, now: Now) -> Option<(u64, u64, Revision)> {
         if id == self.id {
             return Some((self.durable_index, 0, self.in_force));
         }
-        let it = self.progress.get(&id)?;
-        Some((it.match_index, it.silent_ms(now.mono_ms), Revision(it.in_force)))
+        let progress = self.progress.get(&id)?;
+        Some((progress.match_index, progress.silent_ms(now.mono_ms), Revision(progress.in_force)))
     }
 
-    /// Sets the configuration revision told to the leader.
+    /// Sets the configuration revision reported to the leader.
     pub fn set_in_force(&mut self, revision: Revision) {
         self.in_force = revision;
     }
 
     /// Returns whether this leader may answer reads and renew leases at `now`: no other leader
-    /// can have been elected, and everything committed before its term is applied.
+    /// can have been elected, and all entries committed before its term are applied.
     pub fn has_lease(&self, now: Now) -> bool {
         if !self.is_leader() || self.transfer_sent || self.transfer_since_ms.is_some() {
             return false;
         }
-        // A tenth is left for clocks that run at different speeds.
+        // A tenth is reserved for differences in clock speed.
         let lease_ms = self.options.election_timeout_ms * 9 / 10;
         now.mono_ms < self.quorum_acked_ms(now) + lease_ms
             && self.term_at(self.applied_index) == Some(self.hard_state.term)
     }
 
-    /// Returns whether everything that was committed when this member started is applied here.
+    /// Returns whether all entries that were committed when this member started are applied here.
     ///
-    /// Until then a restarted member may hold an older state than it showed before. What a leader
-    /// says it has committed counts once the leader has committed in its own term, and once its
-    /// clock has moved on by an election timeout, so that it did not say so before the restart.
+    /// Until then a restarted member may hold an older state than it exposed before. The leader's
+    /// commit index is trusted once it lies in the leader's own term, and once the leader's clock has
+    /// advanced by an election timeout, so that the message was not sent before the restart.
     pub fn has_caught_up(&self) -> bool {
         self.caught_up
     }
 
-    /// Returns the time of the next call of [`Raft::tick`].
+    /// Returns the time at which [`Raft::tick`] is due next.
     pub fn next_tick_ms(&self) -> u64 {
         match self.is_leader() {
-            true if self.pending.is_empty() => self.heartbeat_at_ms,
-            true => self.heartbeat_at_ms.min(self.flushed_ms + GATHERED_MS),
+            true if self.pending_writes.is_empty() => self.heartbeat_at_ms,
+            true => self.heartbeat_at_ms.min(self.flushed_ms + GATHER_MAX_MS),
             false => self.election_at_ms,
         }
     }
 
-    /// Returns whether a leader keeps what it appends for the end of the sync under way.
+    /// Returns whether a leader gathers new entries until the sync in progress has finished.
     ///
-    /// Its disk takes up nothing before that in any case, and what goes out together costs one
-    /// message and one sync of each member.
-    fn gathers(&self, now: Now) -> bool {
+    /// Its disk starts no other sync before that, and entries sent together cost one message and
+    /// one sync per member.
+    fn is_gathering(&self, now: Now) -> bool {
         self.is_leader()
-            && !self.in_flight.is_empty()
-            && now.mono_ms < self.flushed_ms + GATHERED_MS
+            && !self.in_flight_writes.is_empty()
+            && now.mono_ms < self.flushed_ms + GATHER_MAX_MS
     }
 
-    /// Lets time pass.
+    /// Runs the heartbeat, election and step-down timers that are due.
     pub fn tick(&mut self, now: Now) {
         match self.role {
             Role::Leader if self.must_step_down(now) => {
-                self.follow(now, self.hard_state.term, None)
+                self.become_follower(now, self.hard_state.term, None)
             }
             Role::Leader if self.heartbeat_at_ms <= now.mono_ms => self.broadcast(now),
             Role::Leader => (),
             _ if self.election_at_ms <= now.mono_ms && self.is_voter(self.id) => {
-                self.stand(now, true, false)
+                self.start_election(now, true, false)
             }
-            _ if self.election_at_ms <= now.mono_ms => self.reset_election(now),
+            _ if self.election_at_ms <= now.mono_ms => self.reset_election_timer(now),
             _ => (),
         }
     }
@@ -285,7 +287,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why it was not taken; it is then in no log.
+    /// Returns the reason when the entry is rejected; it is then not appended to any log.
     pub fn propose(&mut self, now: Now, body: EntryBody) -> Result<u64, ProposeError> {
         if !self.is_leader() {
             return Err(ProposeError::NotLeader);
@@ -305,10 +307,10 @@
         Ok(index)
     }
 
-    /// Sends what [`Raft::propose`] appended; called once per turn, so that the proposals of a
-    /// turn, and of all turns during one sync, travel and are synced together.
+    /// Sends the entries that [`Raft::propose`] appended. Called once per turn of the event loop, so
+    /// that the proposals of a turn, and of all turns during one sync, are sent and synced together.
     pub fn flush(&mut self, now: Now) {
-        if self.is_leader() && !self.gathers(now) {
+        if self.is_leader() && !self.is_gathering(now) {
             self.flushed_index = self.last_index();
             let ids: Vec<_> = self.progress.keys().copied().collect();
             for id in ids {
@@ -318,10 +320,10 @@
         }
     }
 
-    /// Takes in a message from another member.
+    /// Handles a message from another member.
     pub fn step(&mut self, now: Now, message: RaftMessage) {
         if message.to != self.id {
-            // Meant for the disk that this address had before.
+            // Addressed to the member whose disk was used at this address before.
             return;
         }
         let from = message.from;
@@ -330,54 +332,54 @@
             RaftBody::VoteReply(it) => self.on_vote_reply(now, from, it),
             RaftBody::Append(it) => self.on_append(now, from, it),
             RaftBody::AppendReply(it) => self.on_append_reply(now, from, it),
-            RaftBody::Snapshot(it) => self.on_chunk(now, from, it),
-            RaftBody::SnapshotReply(it) => self.on_chunk_reply(now, from, it),
+            RaftBody::Snapshot(it) => self.on_snapshot_chunk(now, from, it),
+            RaftBody::SnapshotReply(it) => self.on_snapshot_reply(now, from, it),
             RaftBody::TimeoutNow(it)
                 if it.term == self.hard_state.term && self.is_voter(self.id) =>
             {
-                self.stand(now, false, true)
+                self.start_election(now, false, true)
             }
             RaftBody::TimeoutNow(_) => (),
         }
     }
 
-    /// Returns whether the entries kept take so much memory that a snapshot is due.
+    /// Returns whether the log entries take enough memory for a snapshot to be due.
     pub fn needs_snapshot(&self) -> bool {
         self.options.snapshot_bytes <= self.entries_bytes
             && self.snapshot_index() < self.applied_index
     }
 
-    /// Takes the writes gathered so far with their number; [`Raft::on_persisted`] is to be told it.
+    /// Takes the gathered writes and their number, which [`Raft::on_persisted`] needs later.
     pub fn take_writes(&mut self, now: Now) -> Option<(u64, Vec<DiskWrite>)> {
-        if self.pending.is_empty() || self.gathers(now) {
+        if self.pending_writes.is_empty() || self.is_gathering(now) {
             return None;
         }
         self.flushed_ms = now.mono_ms;
-        self.written += 1;
-        self.in_flight.push_back((self.written, self.last_index()));
-        Some((self.written, std::mem::take(&mut self.pending)))
+        self.last_write_number += 1;
+        self.in_flight_writes.push_back((self.last_write_number, self.last_index()));
+        Some((self.last_write_number, std::mem::take(&mut self.pending_writes)))
     }
 
-    /// Learns that all writes up to `number` are durable.
+    /// Handles the notification that all writes up to `number` are durable.
     pub fn on_persisted(&mut self, now: Now, number: u64) {
-        self.durable = self.durable.max(number);
-        while let Some(&(it, last_index)) = self.in_flight.front()
-            && it <= number
+        self.durable_write_number = self.durable_write_number.max(number);
+        while let Some(&(in_flight_number, last_index)) = self.in_flight_writes.front()
+            && in_flight_number <= number
         {
             self.durable_index = last_index;
-            self.in_flight.pop_front();
+            self.in_flight_writes.pop_front();
         }
-        while let Some((needed, _, _)) = self.held.front()
-            && *needed <= self.durable
+        while let Some((needed_number, _, _)) = self.deferred_messages.front()
+            && *needed_number <= self.durable_write_number
         {
-            if let Some((_, to, body)) = self.held.pop_front() {
+            if let Some((_, to, body)) = self.deferred_messages.pop_front() {
                 self.outbox.push(RaftMessage { from: self.id, to, body });
             }
         }
         match self.role {
             Role::Leader => self.advance_commit(),
-            // A group of one elects itself once its vote is durable.
-            Role::Candidate if self.has_quorum() => self.lead(now),
+            // The voter of a group of one elects itself once its vote is durable.
+            Role::Candidate if self.has_vote_quorum() => self.become_leader(now),
             _ => (),
         }
     }
@@ -387,7 +389,7 @@
         std::mem::take(&mut self.outbox)
     }
 
-    /// Takes what the state machine is to apply next, in order.
+    /// Takes the committed inputs that the state machine applies next, in order.
     pub fn take_committed(&mut self) -> Vec<Committed> {
         let mut res = Vec::new();
         if let Some(it) = self.snapshots_to_install.pop_back() {
@@ -400,10 +402,10 @@
             self.applied_index = it.index;
             res.push(Committed::Entry(it));
         }
-        let reached = self.catch_up_index.is_some_and(|it| it <= self.applied_index);
-        let leads =
+        let has_reached_target = self.catch_up_index.is_some_and(|it| it <= self.applied_index);
+        let has_applied_own_term =
             self.is_leader() && self.term_at(self.applied_index) == Some(self.hard_state.term);
-        self.caught_up |= reached || leads;
+        self.caught_up |= has_reached_target || has_applied_own_term;
         res
     }
 
@@ -422,10 +424,10 @@
         }
     }
 
-    fn set_hard(&mut self, hard: HardState) {
-        if self.hard_state != hard {
-            self.hard_state = hard;
-            self.pending.push(DiskWrite::HardState(hard));
+    fn set_hard_state(&mut self, hard_state: HardState) {
+        if self.hard_state != hard_state {
+            self.hard_state = hard_state;
+            self.pending_writes.push(DiskWrite::HardState(hard_state));
         }
     }
 
@@ -433,13 +435,13 @@
         self.outbox.push(RaftMessage { from: self.id, to, body });
     }
 
-    /// Sends a message once everything written so far is durable.
-    fn send_durable(&mut self, to: MemberId, body: RaftBody) {
-        let needed = self.written + u64::from(!self.pending.is_empty());
-        if needed <= self.durable {
+    /// Sends a message once all writes made so far are durable.
+    fn send_when_durable(&mut self, to: MemberId, body: RaftBody) {
+        let needed_number = self.last_write_number + u64::from(!self.pending_writes.is_empty());
+        if needed_number <= self.durable_write_number {
             self.send_now(to, body);
         } else {
-            self.held.push_back((needed, to, body));
+            self.deferred_messages.push_back((needed_number, to, body));
         }
     }
 }
--- a/src/control/log/record.rs
+++ b/src/control/log/record.rs
@@ -1,9 +1,10 @@
 //! The records of the log file.
 //!
-//! A record is a header of 20 bytes and a body: length, offset known durable when the record
-//! was written, checksum of the body, checksum of the header before it. The durable offset is
-//! what tells a torn tail from corruption: a bad record that a later record vouches for was
-//! once whole on the disk, so it did not come from a write cut short.
+//! A record consists of a 20-byte header and a body. The header holds the body length, the file
+//! offset known to be durable when the record was written, the checksum of the body and the checksum
+//! of the header fields before it. The durable offset distinguishes a torn tail from corruption: an
+//! unreadable record below the durable offset of a later record was once complete on the disk, so it
+//! does not come from an interrupted write.
 
 use std::sync::Arc;
 
@@ -16,7 +17,7 @@
     pub vote: Option<MemberId>,
 }
 
-/// The state at one index of the log.
+/// Snapshot of the state machine at one log index.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Snapshot {
     pub index: u64,
@@ -35,37 +36,37 @@
     Truncate {
         from_index: u64,
     },
-    /// Replaces everything up to the snapshot's index.
+    /// Replaces all entries up to the snapshot's index.
     Snapshot(Arc<Snapshot>),
 }
 
-/// What a member's disk kept.
+/// Durable state of a member, as read from its disk at start-up.
 #[derive(Clone, Debug, Default)]
 pub struct RecoveredState {
     pub hard_state: HardState,
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<LogEntry>,
-    /// The membership before the first entry; empty for a member that joins later.
+    /// Membership before the first entry; empty for a member that joins a running group.
     pub initial_members: Membership,
 }
 
 impl RecoveredState {
-    /// Takes in a write that was found durable.
+    /// Applies one record read from the log file.
     ///
     /// # Errors
     ///
-    /// Returns an error when an entry does not follow the one before it.
+    /// Returns an error when the index of an entry does not follow that of the previous entry.
     pub(super) fn replay(&mut self, record: Record) -> Result<()> {
         match record {
-            Record::HardState(it) => self.hard_state = it,
-            Record::Entry(it) => {
+            Record::HardState(hard_state) => self.hard_state = hard_state,
+            Record::Entry(entry) => {
                 let next = self.last_index() + 1;
-                if it.index != next {
+                if entry.index != next {
                     let message =
-                        format_compact!("log entry {} found where {next} is due", it.index);
+                        format_compact!("log entry {} found, expected {next}", entry.index);
                     return Err(Error::report(ErrorKind::Internal, message));
                 }
-                self.entries.push(it);
+                self.entries.push(entry);
             }
             Record::Truncate { from_index } => {
                 let first = self.first_index();
@@ -93,7 +94,7 @@
     Truncate {
         from_index: u64,
     },
-    /// Says only that everything before it is durable.
+    /// Records that all data before it is durable.
     Mark,
 }
 
@@ -115,60 +116,60 @@
     Ok(())
 }
 
-/// A record read back.
-pub(super) struct Decoded {
+/// A record read from the log file.
+pub(super) struct DecodedRecord {
     pub record: Record,
     pub durable_bytes: u64,
     pub size_bytes: usize,
 }
 
-/// Reads the record at the start of `data`, or nothing where no whole record stands.
-pub(super) fn decode(data: &[u8]) -> Option<Decoded> {
+/// Decodes the record at the start of `data`; returns `None` if there is no complete, valid record.
+pub(super) fn decode(data: &[u8]) -> Option<DecodedRecord> {
     let header = data.get(..HEADER_BYTES)?;
-    let word = |at: usize| {
+    let read_u32 = |at: usize| {
         header.get(at..at + 4).and_then(|it| it.try_into().ok()).map(u32::from_le_bytes)
     };
     let durable_bytes = u64::from_le_bytes(header.get(4..12)?.try_into().ok()?);
-    if word(16)? != checksum(&header[..16]) {
+    if read_u32(16)? != checksum(&header[..16]) {
         return None;
     }
-    let size_bytes = HEADER_BYTES + word(0)? as usize;
+    let size_bytes = HEADER_BYTES + read_u32(0)? as usize;
     let body = data.get(HEADER_BYTES..size_bytes)?;
-    if word(12)? != checksum(body) {
+    if read_u32(12)? != checksum(body) {
         return None;
     }
     let (record, _) = bincode::serde::decode_from_slice(body, bincode::config::standard()).ok()?;
-    Some(Decoded { record, durable_bytes, size_bytes })
+    Some(DecodedRecord { record, durable_bytes, size_bytes })
 }
 
-/// What is wrong at the end of the readable records.
+/// Condition of the data after the last readable record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LogTail {
     Whole,
-    /// A write was cut short; what stands there was never acknowledged.
+    /// A write was interrupted; its data was never acknowledged.
     Torn,
     /// Records that were once durable cannot be read.
     Corrupt,
 }
 
-/// Judges what follows the last readable record, which ends at `offset`.
-pub(super) fn judge_tail(data: &[u8], offset: usize) -> LogTail {
+/// Classifies the data after the last readable record, which ends at `offset`.
+pub(super) fn classify_tail(data: &[u8], offset: usize) -> LogTail {
     if offset == data.len() {
         return LogTail::Whole;
     }
-    let vouched = (offset + 1..data.len())
+    let was_durable = (offset + 1..data.len())
         .filter_map(|at| decode(&data[at..]))
         .any(|it| offset < it.durable_bytes as usize);
-    if vouched { LogTail::Corrupt } else { LogTail::Torn }
+    if was_durable { LogTail::Corrupt } else { LogTail::Torn }
 }
 
-/// Returns about how much memory an entry takes; exact where it is large.
-pub(super) fn weight_bytes(entry: &LogEntry) -> usize {
-    let EntryBody::Command(Command::Workflow(it)) = &entry.body else { return ENTRY_BYTES };
-    let more = match it {
+/// Estimates the memory of an entry; exact for the contents that can be large.
+pub(super) fn estimated_bytes(entry: &LogEntry) -> usize {
+    let EntryBody::Command(Command::Workflow(command)) = &entry.body else { return ENTRY_BYTES };
+    let command_bytes = match command {
         WorkflowCommand::Install(it) => {
-            let text = |it: &Queue| it.name.len() + it.host.len() + it.path_prefix.len();
-            let queues: usize = it.queues.iter().map(text).sum();
+            let text_bytes = |it: &Queue| it.name.len() + it.host.len() + it.path_prefix.len();
+            let queues: usize = it.queues.iter().map(text_bytes).sum();
             it.document.len() + queues + it.queues.len() * size_of::<Queue>()
         }
         WorkflowCommand::Submit(it) => {
@@ -180,8 +181,8 @@
         WorkflowCommand::Learn(it) => it.len() * size_of::<ImageCost>(),
         _ => 0,
     };
-    ENTRY_BYTES + more
+    ENTRY_BYTES + command_bytes
 }
 
-/// Memory of an entry without what its command lists.
+/// Estimated memory of an entry without the variable-size contents of its command.
 const ENTRY_BYTES: usize = 200;
--- a/src/link/client.rs
+++ b/src/link/client.rs
@@ -1,4 +1,4 @@
-//! The sending side: one connection and one bounded queue for each peer.
+//! Sending side: one connection and one bounded queue per peer.
 
 use std::{
     cell::Cell, collections::HashMap, fmt, net::SocketAddr, rc::Rc, sync::Arc, time::Duration,
@@ -13,26 +13,29 @@
     prelude::*,
 };
 
-/// Time for a connection, of which each try to reach the peer's host has a part: what was sent to a
-/// host without power is sent again only after a second by the system, while the host may be back.
+/// Timeout for opening a connection, with all its TCP connection attempts.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-const DIAL_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Timeout of one TCP connection attempt. The kernel repeats an unanswered attempt only after 1 s,
+/// although a host without power may be back earlier.
+const CONNECT_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(200);
+
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 const SWEEP_INTERVAL: Duration = Duration::from_secs(60);
 const BACKOFF_MIN: Duration = Duration::from_millis(20);
 const BACKOFF_MAX: Duration = Duration::from_millis(500);
 
-/// How long sent bytes may stay unacknowledged before a connection counts as broken.
+/// Time for which sent bytes may stay unacknowledged before TCP closes the connection.
 const USER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Interval at which a connection that was sent on is asked for a sign of life, and the time for it.
-/// Together they find a silent connection well within the 3 s after which a VM counts as out of
-/// touch, and within a lease. Messages expect no answer, so that nothing else would show it: control
-/// processes lost sight of each other for good.
+/// Interval of the pings on a connection with recent messages, and timeout of their answers. Together
+/// they detect a silent connection well within the 3 s after which a VM counts as unreachable, and
+/// within a lease. Messages have no answers, so without pings the failure goes unnoticed: control
+/// processes lost contact with each other permanently.
 const PING_INTERVAL: Duration = Duration::from_millis(1_500);
 const PING_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Why a connection could not be opened or broke.
+/// Why a connection could not be opened, or failed.
 #[derive(Debug)]
 enum SendError {
     Io(std::io::Error),
@@ -62,30 +65,30 @@
     }
 }
 
-fn other(it: impl fmt::Display) -> SendError {
+fn other_error(it: impl fmt::Display) -> SendError {
     SendError::Other(format_compact!("{it}"))
 }
 
-/// Hands messages to the queues of their peers.
-pub(super) async fn route<S: LinkSink>(
+/// Distributes messages to the queues of their peers.
+pub(super) async fn route_messages<S: LinkSink>(
     mut incoming: mpsc::UnboundedReceiver<(SocketAddr, Envelope)>,
     options: Arc<LinkOptions>,
     metrics: Arc<Metrics>,
     sink: S,
 ) {
     let mut peers: HashMap<SocketAddr, mpsc::Sender<Envelope>> = HashMap::new();
-    let mut swept = time::Instant::now();
+    let mut last_sweep = time::Instant::now();
     while let Some((to, mut envelope)) = incoming.recv().await {
-        if SWEEP_INTERVAL < swept.elapsed() {
-            swept = time::Instant::now();
+        if SWEEP_INTERVAL < last_sweep.elapsed() {
+            last_sweep = time::Instant::now();
             peers.retain(|_, it| !it.is_closed());
         }
-        // A peer that was idle has ended its task; a second try starts a new one.
+        // The task of an idle peer has ended; the second attempt starts a new one.
         for _ in 0..2 {
             let queue = peers.entry(to).or_insert_with(|| {
                 let (sender, receiver) = mpsc::channel(options.queue_messages);
                 let peer = Peer { address: to, options: options.clone(), metrics: metrics.clone() };
-                tokio::task::spawn_local(carry(peer, receiver, sink.clone()));
+                tokio::task::spawn_local(send_to_peer(peer, receiver, sink.clone()));
                 sender
             });
             match queue.try_send(envelope) {
@@ -109,18 +112,18 @@
     metrics: Arc<Metrics>,
 }
 
-/// Carries the messages for one peer until there have been none for a while.
-async fn carry<S: LinkSink>(peer: Peer, mut queue: mpsc::Receiver<Envelope>, sink: S) {
+/// Sends the messages for one peer; ends after [`IDLE_TIMEOUT`] without messages.
+async fn send_to_peer<S: LinkSink>(peer: Peer, mut queue: mpsc::Receiver<Envelope>, sink: S) {
     let mut backoff = BACKOFF_MIN;
     while let Ok(Some(first)) = time::timeout(IDLE_TIMEOUT, queue.recv()).await {
-        let connected = time::timeout(CONNECT_TIMEOUT, connect(&peer)).await;
-        let mut stream = match connected {
+        let connection = time::timeout(CONNECT_TIMEOUT, connect(&peer)).await;
+        let mut stream = match connection {
             Ok(Ok(it)) => it,
-            failed => {
-                if let Ok(Err(error)) = failed {
+            failure => {
+                if let Ok(Err(error)) = failure {
                     tracing::debug!(event = "link_refused", peer = %peer.address, %error);
                 }
-                // What waited meanwhile is as old as the failure; the cores send anew.
+                // Queued messages are outdated after the failure; the cores send new ones.
                 peer.metrics.count_dropped_message("no_connection");
                 while queue.try_recv().is_ok() {
                     peer.metrics.count_dropped_message("no_connection");
@@ -133,20 +136,20 @@
         };
         backoff = BACKOFF_MIN;
         let mut next = Some(first);
-        let ended = loop {
+        let result = loop {
             let Some(envelope) = next.take() else {
                 break Ok(());
             };
             if let Err(error) = send(&peer, &mut stream, &envelope).await {
                 break Err(error);
             }
-            let waited = time::timeout(IDLE_TIMEOUT, receive_or_break(&mut queue, &mut stream));
-            next = waited.await.unwrap_or_default();
-            if next.is_none() && stream.broken {
-                break Err(other("the peer closed the connection"));
+            let received = time::timeout(IDLE_TIMEOUT, receive_or_break(&mut queue, &mut stream));
+            next = received.await.unwrap_or_default();
+            if next.is_none() && stream.is_broken {
+                break Err(other_error("the peer closed the connection"));
             }
         };
-        match ended {
+        match result {
             Ok(()) => return,
             Err(error) => {
                 tracing::debug!(event = "link_lost", peer = %peer.address, %error);
@@ -159,13 +162,13 @@
 /// An open stream to a peer.
 struct Stream {
     send: h2::SendStream<Bytes>,
-    /// Whether anything was sent since the last ping.
-    is_used: Rc<Cell<bool>>,
+    /// Whether data was sent since the last check for a ping.
+    sent_since_ping: Rc<Cell<bool>>,
     closed: tokio::sync::oneshot::Receiver<()>,
-    broken: bool,
+    is_broken: bool,
 }
 
-/// Waits for the next message, or for the connection to break.
+/// Waits for the next message, or for the connection to fail.
 async fn receive_or_break(
     queue: &mut mpsc::Receiver<Envelope>,
     stream: &mut Stream,
@@ -173,24 +176,25 @@
     tokio::select! {
         biased;
         _ = &mut stream.closed => {
-            stream.broken = true;
+            stream.is_broken = true;
             None
         }
         it = queue.recv() => it,
     }
 }
 
-/// Opens a connection to a host that may just come back, within the time for the whole.
-async fn dial(address: SocketAddr) -> std::io::Result<TcpStream> {
+/// Opens a TCP connection, with repeated attempts, as the host may come back at any moment; the caller
+/// limits the total time.
+async fn connect_tcp(address: SocketAddr) -> std::io::Result<TcpStream> {
     loop {
-        if let Ok(it) = time::timeout(DIAL_TIMEOUT, TcpStream::connect(address)).await {
+        if let Ok(it) = time::timeout(CONNECT_ATTEMPT_TIMEOUT, TcpStream::connect(address)).await {
             return it;
         }
     }
 }
 
 async fn connect(peer: &Peer) -> Result<Stream, SendError> {
-    let tcp = dial(peer.address).await?;
+    let tcp = connect_tcp(peer.address).await?;
     tcp.set_nodelay(true)?;
     socket2::SockRef::from(&tcp).set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     let (mut client, mut connection) = h2::client::Builder::new()
@@ -198,34 +202,38 @@
         .initial_connection_window_size(1 << 22)
         .handshake::<_, Bytes>(tcp)
         .await?;
-    let (closing, closed) = tokio::sync::oneshot::channel();
-    let is_used = Rc::new(Cell::new(true));
-    let ping = connection.ping_pong().ok_or_else(|| other("pings are taken already"))?;
-    let silent = wait_for_silence(ping, is_used.clone());
+    let (closed_sender, closed) = tokio::sync::oneshot::channel();
+    let sent_since_ping = Rc::new(Cell::new(true));
+    let ping = connection
+        .ping_pong()
+        .ok_or_else(|| other_error("the ping handle of the connection is already taken"))?;
+    let silence = wait_until_silent(ping, sent_since_ping.clone());
     let (address, metrics) = (peer.address, peer.metrics.clone());
     tokio::task::spawn_local(async move {
         tokio::select! {
-            // How it ended shows on the stream.
+            // Errors of the connection are also reported by the stream.
             _ = connection => (),
-            () = silent => {
+            () = silence => {
                 tracing::warn!(event = "link_silent", peer = %address, timeout_ms = PING_TIMEOUT.as_millis());
                 metrics.count_silent_link();
             }
         }
-        let _ = closing.send(());
+        let _ = closed_sender.send(());
     });
     std::future::poll_fn(|cx| client.poll_ready(cx)).await?;
-    let request =
-        http::Request::post(format!("http://{}/link", peer.address)).body(()).map_err(other)?;
+    let request = http::Request::post(format!("http://{}/link", peer.address))
+        .body(())
+        .map_err(other_error)?;
     let (response, send) = client.send_request(request, false)?;
-    let mut stream = Stream { send, is_used, closed, broken: false };
-    let hello = encode_frame(&peer.options.hello, peer.options.frame_max_bytes).map_err(other)?;
-    write(&mut stream, hello).await?;
+    let mut stream = Stream { send, sent_since_ping, closed, is_broken: false };
+    let hello =
+        encode_frame(&peer.options.hello, peer.options.frame_max_bytes).map_err(other_error)?;
+    write_frame(&mut stream, hello).await?;
     let response = response.await?;
     if response.status() != http::StatusCode::OK {
-        let wanted = peer.options.hello.version;
-        tracing::error!(event = "link_version_refused", peer = %peer.address, ours = wanted, status = %response.status());
-        return Err(other(format_compact!("the peer answered {}", response.status())));
+        let own_version = peer.options.hello.version;
+        tracing::error!(event = "link_version_refused", peer = %peer.address, ours = own_version, status = %response.status());
+        return Err(other_error(format_compact!("the peer answered {}", response.status())));
     }
     Ok(stream)
 }
@@ -241,29 +249,29 @@
     };
     peer.metrics.link_bytes_sent.inc_by(frame.len() as u64);
     peer.metrics.link_frames_sent.inc();
-    write(stream, frame).await
+    write_frame(stream, frame).await
 }
 
-/// Returns when the peer gives no sign of life though something was sent to it.
-async fn wait_for_silence(mut ping: h2::PingPong, is_used: Rc<Cell<bool>>) {
+/// Returns once the peer does not answer a ping in time. Pings are sent only after other data.
+async fn wait_until_silent(mut ping: h2::PingPong, sent_since_ping: Rc<Cell<bool>>) {
     loop {
         time::sleep(PING_INTERVAL).await;
-        if !is_used.take() {
+        if !sent_since_ping.take() {
             continue;
         }
-        let answered = time::timeout(PING_TIMEOUT, ping.ping(h2::Ping::opaque())).await;
-        if !matches!(answered, Ok(Ok(_))) {
+        let answer = time::timeout(PING_TIMEOUT, ping.ping(h2::Ping::opaque())).await;
+        if !matches!(answer, Ok(Ok(_))) {
             return;
         }
     }
 }
 
-async fn write(stream: &mut Stream, mut data: Bytes) -> Result<(), SendError> {
-    stream.is_used.set(true);
+async fn write_frame(stream: &mut Stream, mut data: Bytes) -> Result<(), SendError> {
+    stream.sent_since_ping.set(true);
     while !data.is_empty() {
         stream.send.reserve_capacity(data.len());
         let granted = std::future::poll_fn(|cx| stream.send.poll_capacity(cx)).await;
-        let granted = granted.ok_or_else(|| other("the stream was closed"))??;
+        let granted = granted.ok_or_else(|| other_error("the stream was closed"))??;
         let chunk = data.split_to(granted.min(data.len()));
         stream.send.send_data(chunk, false)?;
     }
--- a/src/link/codec.rs
+++ b/src/link/codec.rs
@@ -7,7 +7,7 @@
 
 const LENGTH_BYTES: usize = 4;
 
-/// Why a frame was refused; its connection is closed then.
+/// Why a frame was rejected; its connection is then closed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FrameError {
     TooLarge { bytes: usize, max_bytes: usize },
@@ -18,7 +18,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             FrameError::TooLarge { bytes, max_bytes } => {
-                write!(f, "frame of {bytes} bytes, the most is {max_bytes}")
+                write!(f, "frame of {bytes} bytes exceeds the limit of {max_bytes} bytes")
             }
             FrameError::Undecodable(why) => write!(f, "frame cannot be decoded: {why}"),
         }
@@ -30,8 +30,8 @@
 /// # Errors
 ///
 /// Returns an error when the frame is larger than `max_bytes`.
-pub fn encode_frame<T: Serialize>(it: &T, max_bytes: usize) -> Result<Bytes, FrameError> {
-    let body = bincode::serde::encode_to_vec(it, bincode::config::standard())
+pub fn encode_frame<T: Serialize>(message: &T, max_bytes: usize) -> Result<Bytes, FrameError> {
+    let body = bincode::serde::encode_to_vec(message, bincode::config::standard())
         .map_err(|it| FrameError::Undecodable(it.to_string()))?;
     if max_bytes < body.len() {
         return Err(FrameError::TooLarge { bytes: body.len(), max_bytes });
@@ -42,7 +42,7 @@
     Ok(res.freeze())
 }
 
-/// Cuts a stream of bytes into frames.
+/// Splits a byte stream into frames.
 #[derive(Debug)]
 pub struct FrameDecoder {
     buffer: BytesMut,
@@ -50,21 +50,21 @@
 }
 
 impl FrameDecoder {
-    /// Makes a cutter that accepts frames of at most `max_bytes`.
+    /// Creates a decoder that accepts frames of at most `max_bytes`.
     pub fn new(max_bytes: usize) -> FrameDecoder {
         FrameDecoder { buffer: BytesMut::new(), max_bytes }
     }
 
-    /// Takes in bytes as they arrive.
+    /// Appends received bytes.
     pub fn push(&mut self, data: &[u8]) {
         self.buffer.extend_from_slice(data);
     }
 
-    /// Returns the next whole frame.
+    /// Returns the next complete frame, or `None` until more bytes arrive.
     ///
     /// # Errors
     ///
-    /// Returns an error when the frame is too large, is not of type `T`, or has bytes left over.
+    /// Returns an error when the frame is too large, cannot be decoded as a `T`, or has excess bytes.
     pub fn next_frame<T: DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
         let Some(length) = self.buffer.get(..LENGTH_BYTES).and_then(|it| it.try_into().ok()) else {
             return Ok(None);
@@ -80,10 +80,11 @@
         let body = self.buffer.split_to(length);
         let decoded = bincode::serde::decode_from_slice(&body, bincode::config::standard());
         match decoded {
-            Ok((it, used)) if used == length => Ok(Some(it)),
-            Ok((_, used)) => {
-                Err(FrameError::Undecodable(format!("{} bytes are left over", length - used)))
-            }
+            Ok((it, decoded_bytes)) if decoded_bytes == length => Ok(Some(it)),
+            Ok((_, decoded_bytes)) => Err(FrameError::Undecodable(format!(
+                "{} excess bytes after the message",
+                length - decoded_bytes
+            ))),
             Err(it) => Err(FrameError::Undecodable(it.to_string())),
         }
     }
--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -1,9 +1,9 @@
 //! Links between processes: `h2` streams of `bincode` frames.
 //!
 //! Every process listens on one address and opens one connection to each peer that it sends to;
-//! a connection carries one stream, in one direction. Nothing is confirmed here: a message may
-//! be lost with its connection, and the cores repeat what matters. `h2` needs an asynchronous
-//! runtime; it is single-threaded and lives in this module's thread only.
+//! a connection carries one stream, in one direction. Delivery is not acknowledged here: a message
+//! may be lost with its connection, and the cores retry where needed. `h2` needs an asynchronous
+//! runtime; it is single-threaded and runs on the link's thread only.
 
 mod client;
 mod codec;
@@ -22,26 +22,25 @@
 
 pub use self::codec::{FrameDecoder, FrameError, encode_frame};
 
-/// What a link tells its process.
+/// Event that a link reports to its process.
 #[derive(Clone, Debug)]
 pub enum LinkEvent {
     Message {
         from: SocketAddr,
         envelope: Box<Envelope>,
     },
-    /// The connection to a peer broke; what was sent last may be lost.
+    /// The connection to a peer failed; the messages sent last may be lost.
     ConnectionLost {
         peer: SocketAddr,
     },
 }
 
-/// Takes in the events of a link; called on the link's thread.
+/// Receiver of the events of a link; called on the link's thread.
 pub trait LinkSink: Clone + Send + 'static {
-    /// Takes in one event.
     fn on_event(&self, event: LinkEvent);
 }
 
-/// What a link is told by the settings.
+/// Options of a link.
 #[derive(Clone, Debug)]
 pub struct LinkOptions {
     pub hello: Hello,
@@ -51,7 +50,7 @@
 }
 
 impl LinkOptions {
-    /// Returns what the settings of a process say.
+    /// Derives the options from the settings of a process.
     pub fn new(settings: &Settings) -> LinkOptions {
         let (process, link) = (&settings.process, &settings.link);
         let hello = Hello {
@@ -81,44 +80,44 @@
 }
 
 impl Link {
-    /// Starts listening, and the thread that carries all links.
+    /// Starts listening, and the thread that runs all connections.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address cannot be listened on.
+    /// Returns an error when the process cannot listen on the address.
     pub fn start<S: LinkSink>(
         options: LinkOptions,
         metrics: Arc<Metrics>,
         sink: S,
     ) -> Result<Link> {
         let listener = listen(options.listen)?;
-        // The queue to the thread is emptied at once into the bounded queues of the peers.
+        // Unbounded: the thread moves messages to the bounded queues of the peers at once.
         let (outgoing, incoming) = mpsc::unbounded_channel();
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .change_context_lazy(|| {
-                Error::new(ErrorKind::Internal, "cannot start the links' runtime")
+                Error::new(ErrorKind::Internal, "cannot start the runtime of the link")
             })?;
-        let carry = move || {
+        let run = move || {
             let local = tokio::task::LocalSet::new();
-            local.block_on(&runtime, carry_all(listener, incoming, options, metrics, sink));
+            local.block_on(&runtime, run_links(listener, incoming, options, metrics, sink));
         };
-        thread::Builder::new().name("link".to_owned()).spawn(carry).change_context_lazy(|| {
-            Error::new(ErrorKind::Internal, "cannot start the links' thread")
+        thread::Builder::new().name("link".to_owned()).spawn(run).change_context_lazy(|| {
+            Error::new(ErrorKind::Internal, "cannot start the thread of the link")
         })?;
         Ok(Link { outgoing })
     }
 
-    /// Starts listening on the current thread, whose [`tokio::task::LocalSet`] carries all links.
+    /// Starts listening on the current thread, whose [`tokio::task::LocalSet`] runs all connections.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address cannot be listened on.
+    /// Returns an error when the process cannot listen on the address.
     ///
     /// # Panics
     ///
-    /// Panics outside of a local set.
+    /// Panics when called outside of a local set.
     pub fn start_local<S: LinkSink>(
         options: LinkOptions,
         metrics: Arc<Metrics>,
@@ -126,25 +125,27 @@
     ) -> Result<Link> {
         let listener = listen(options.listen)?;
         let (outgoing, incoming) = mpsc::unbounded_channel();
-        tokio::task::spawn_local(carry_all(listener, incoming, options, metrics, sink));
+        tokio::task::spawn_local(run_links(listener, incoming, options, metrics, sink));
         Ok(Link { outgoing })
     }
 
-    /// Sends a message; it is dropped and counted where the peer cannot be reached in time.
+    /// Sends a message; it is dropped and counted if the peer's queue is full or the peer cannot be
+    /// reached in time.
     pub fn send(&self, to: SocketAddr, envelope: Envelope) {
-        // Fails only once the thread has ended with its process.
+        // Fails only after the link's task has ended, at the end of the process.
         let _ = self.outgoing.send((to, envelope));
     }
 }
 
 fn listen(address: SocketAddr) -> Result<std::net::TcpListener> {
-    let cannot = || Error::new(ErrorKind::Internal, format_compact!("cannot listen on {address}"));
-    let res = std::net::TcpListener::bind(address).change_context_lazy(cannot)?;
-    res.set_nonblocking(true).change_context_lazy(cannot)?;
+    let listen_error =
+        || Error::new(ErrorKind::Internal, format_compact!("cannot listen on {address}"));
+    let res = std::net::TcpListener::bind(address).change_context_lazy(listen_error)?;
+    res.set_nonblocking(true).change_context_lazy(listen_error)?;
     Ok(res)
 }
 
-async fn carry_all<S: LinkSink>(
+async fn run_links<S: LinkSink>(
     listener: std::net::TcpListener,
     incoming: mpsc::UnboundedReceiver<(SocketAddr, Envelope)>,
     options: LinkOptions,
@@ -152,7 +153,7 @@
     sink: S,
 ) {
     let options = Arc::new(options);
-    let serving = server::serve(listener, options.clone(), metrics.clone(), sink.clone());
-    tokio::task::spawn_local(serving);
-    client::route(incoming, options, metrics, sink).await;
+    let accept_loop = server::serve(listener, options.clone(), metrics.clone(), sink.clone());
+    tokio::task::spawn_local(accept_loop);
+    client::route_messages(incoming, options, metrics, sink).await;
 }
--- a/src/link/server.rs
+++ b/src/link/server.rs
@@ -1,4 +1,4 @@
-//! The receiving side.
+//! Receiving side: accepts connections and decodes their frames.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
     prelude::*,
 };
 
-/// Accepts links until the process ends.
+/// Accepts connections until the process ends.
 pub(super) async fn serve<S: LinkSink>(
     listener: std::net::TcpListener,
     options: Arc<LinkOptions>,
@@ -35,7 +35,7 @@
                 ));
             }
             Err(error) => {
-                // Such as too many open files: it passes, and must not spin meanwhile.
+                // Often temporary, such as too many open files; the pause prevents a busy loop.
                 tracing::warn!(event = "link_accept_failed", %error);
                 tokio::time::sleep(std::time::Duration::from_millis(100)).await;
             }
@@ -83,7 +83,7 @@
         let _ = body.flow_control().release_capacity(data.len());
         frames.push(&data);
         if peer.is_none() {
-            match greet(&mut frames, &options) {
+            match read_hello(&mut frames, &options) {
                 Ok(None) => continue,
                 Ok(Some(hello)) => {
                     let _ = respond.send_response(http::Response::new(()), true);
@@ -120,23 +120,23 @@
     }
 }
 
-/// Reads the first frame of a link.
+/// Reads and checks the first frame of a connection.
 ///
-/// The layout of [`Hello`] never changes, so that any two versions understand each other's
-/// refusal.
-fn greet(frames: &mut FrameDecoder, options: &LinkOptions) -> Result<Option<Hello>, String> {
+/// The layout of [`Hello`] never changes, so that any two versions can read each other's version and
+/// reject the connection.
+fn read_hello(frames: &mut FrameDecoder, options: &LinkOptions) -> Result<Option<Hello>, String> {
     let hello: Option<Hello> = frames.next_frame().map_err(|it: FrameError| it.to_string())?;
     let Some(hello) = hello else { return Ok(None) };
-    let ours = &options.hello;
-    if hello.version != ours.version {
+    let own_hello = &options.hello;
+    if hello.version != own_hello.version {
         return Err(format!(
-            "{} speaks version {}, this process {}",
-            hello.process, hello.version, ours.version
+            "{} uses protocol version {}, this process {}",
+            hello.process, hello.version, own_hello.version
         ));
     }
-    if (hello.region, hello.group) != (ours.region, ours.group) {
-        let place = (hello.region, hello.group);
-        return Err(format!("{} is of region and group {place:?}", hello.process));
+    if (hello.region, hello.group) != (own_hello.region, own_hello.group) {
+        let group_id = (hello.region, hello.group);
+        return Err(format!("{} belongs to another region and group: {group_id:?}", hello.process));
     }
     Ok(Some(hello))
 }
