--- a/src/entry/core/admission.rs
+++ b/src/entry/core/admission.rs
@@ -1,10 +1,10 @@
-//! Which quick requests are taken, wait, or are refused at once.
+//! Admission of quick requests: which are sent, queued or refused at once.
 
 use std::sync::Arc;
 
 use crate::{
     entry::{
-        core::{EntryCore, LOOKUPS_MAX, class_queue},
+        core::{EntryCore, KEY_LOOKUP_PENDING_MAX, class_queue},
         pending_request::{PendingRequest, PendingRequestKey, Stage},
         request::{CallerAnswer, QuickRequest},
     },
@@ -14,9 +14,9 @@
 };
 
 impl EntryCore {
-    /// Checks whether this entry takes anything at all.
+    /// Checks whether this entry accepts any request now.
     pub(super) fn check_request_limit(&self, open: usize) -> Result<(), Refusal> {
-        if self.draining {
+        if self.is_draining {
             return Err(refusal_with_retry_after(
                 ErrorKind::Draining,
                 "this entry is stopping: ask another",
@@ -43,14 +43,14 @@
         token: u64,
         team: CompactString,
         quick: QuickRequest,
-        no_room: Option<Refusal>,
+        limit_refusal: Option<Refusal>,
     ) {
         if !quick.idempotent && quick.key.as_ref().is_none_or(|key| key.is_empty()) {
             let detail = "a request that is not idempotent needs an idempotency key";
             return self
                 .answer(token, CallerAnswer::Refused(refusal(ErrorKind::BadRequest, detail)));
         }
-        let refusal = match &no_room {
+        let refusal = match &limit_refusal {
             Some(it) if quick.idempotent => Some(it.clone()),
             Some(_) => None,
             None => self.check_quick(&team, &quick).err(),
@@ -58,24 +58,24 @@
         if let Some(it) = refusal {
             return self.answer(token, CallerAnswer::Refused(it));
         }
-        if LOOKUPS_MAX <= self.pending_requests.len() && no_room.is_some() {
-            // Not even its key can be looked up, so an earlier sending may have run.
+        if KEY_LOOKUP_PENDING_MAX <= self.pending_requests.len() && limit_refusal.is_some() {
+            // The key cannot be looked up, and an earlier request with it may have run.
             let detail =
                 "too many requests are open to look up its key: send it again with the same key";
             let refusal = refusal_with_retry_after(ErrorKind::OutcomeUnknown, detail, 500);
             return self.answer(token, CallerAnswer::Refused(refusal));
         }
         let key = self.admit(now, token, team, quick);
-        if let Some(refusal) = no_room.or_else(|| self.check_busy(key).err()) {
+        if let Some(refusal) = limit_refusal.or_else(|| self.check_servable(key).err()) {
             return self.refuse(now, key, refusal);
         }
-        // Who arrives while others wait goes behind them.
+        // A new request goes behind those that wait already.
         let Some(class) = self.pending_requests.get(key).map(|it| it.caller_request.class.clone())
         else {
             return;
         };
-        let others_wait = self.class_queues.get(&class).is_some_and(|it| !it.queue.is_empty());
-        if others_wait || !self.try_begin(now, key) {
+        let has_queued = self.class_queues.get(&class).is_some_and(|it| !it.queue.is_empty());
+        if has_queued || !self.try_begin(now, key) {
             self.enqueue(now, key);
         }
     }
@@ -90,7 +90,7 @@
         self.next_request += 1;
         let request = RequestId { boot: self.options.boot, number: self.next_request };
         let deadline_ms = now.mono_ms + u64::from(quick.deadline_ms);
-        *self.by_team.entry(team.clone()).or_insert(0) += 1;
+        *self.in_flight_by_team.entry(team.clone()).or_insert(0) += 1;
         let digest = digest_of(&[quick.class.as_bytes(), quick.path.as_bytes(), &quick.body]);
         let key = self.pending_requests.insert(PendingRequest {
             token: Some(token),
@@ -109,22 +109,23 @@
             last_refusal: None,
             error_answer: None,
         });
-        self.by_request.insert(request, key);
+        self.keys_by_request.insert(request, key);
         self.timers.insert((deadline_ms, key));
         key
     }
 
-    /// Checks whether a request admitted a moment ago can be served now.
-    pub(super) fn check_busy(&self, key: PendingRequestKey) -> Result<(), Refusal> {
+    /// Checks the team's limit and the class's endpoints for a request just admitted.
+    pub(super) fn check_servable(&self, key: PendingRequestKey) -> Result<(), Refusal> {
         let Some(pending) = self.pending_requests.get(key) else { return Ok(()) };
-        let open = self.by_team.get(&pending.team).copied().unwrap_or(0);
-        let most = self.configuration.team(&pending.team).map_or(0, |it| it.requests_in_flight_max);
-        if most < open {
+        let open = self.in_flight_by_team.get(&pending.team).copied().unwrap_or(0);
+        let limit =
+            self.configuration.team(&pending.team).map_or(0, |it| it.requests_in_flight_max);
+        if limit < open {
             let detail =
-                format_compact!("team {} has {most} requests open here, its most", pending.team);
+                format_compact!("team {} has {limit} requests open here, its most", pending.team);
             return Err(refusal_with_retry_after(ErrorKind::TeamShareExceeded, detail, 100));
         }
-        if !self.endpoints.has_open(&pending.caller_request.class) {
+        if !self.endpoints.has_accepting(&pending.caller_request.class) {
             let detail =
                 format_compact!("class {} has no endpoint now", pending.caller_request.class);
             return Err(refusal_with_retry_after(ErrorKind::NoEndpoint, detail, 1_000));
@@ -132,29 +133,29 @@
         Ok(())
     }
 
-    pub(super) fn check_quick(&self, team: &str, it: &QuickRequest) -> Result<(), Refusal> {
+    pub(super) fn check_quick(&self, team: &str, quick: &QuickRequest) -> Result<(), Refusal> {
         if self.configuration.team(team).is_none() {
             let detail = format_compact!("no team is named {team}");
             return Err(refusal(ErrorKind::UnknownTeam, detail));
         }
-        let Some(class) = self.configuration.class(&it.class) else {
+        let Some(class) = self.configuration.class(&quick.class) else {
             return Err(refusal(
                 ErrorKind::UnknownClass,
-                format_compact!("no class is named {}", it.class),
+                format_compact!("no class is named {}", quick.class),
             ));
         };
         if class.kind != ClassKind::LatencyCritical {
             let detail = format_compact!(
                 "class {} is {}; quick requests need latency_critical",
-                it.class,
+                quick.class,
                 class.kind
             );
             return Err(refusal(ErrorKind::WrongClassKind, detail));
         }
-        if it.deadline_ms == 0 || class.deadline_max_ms < it.deadline_ms {
+        if quick.deadline_ms == 0 || class.deadline_max_ms < quick.deadline_ms {
             let detail = format_compact!(
                 "deadline_ms is {}, out of range 1 to {}",
-                it.deadline_ms,
+                quick.deadline_ms,
                 class.deadline_max_ms
             );
             return Err(refusal(ErrorKind::DeadlineOutOfRange, detail));
@@ -162,18 +163,18 @@
         Ok(())
     }
 
-    /// Lets a request wait for a free endpoint, unless it is known that it would wait too long.
+    /// Queues a request until an endpoint is free; refuses it if the expected wait is too long.
     pub(super) fn enqueue(&mut self, now: Now, key: PendingRequestKey) {
         let Some(pending) = self.pending_requests.get(key) else { return };
         let class = pending.caller_request.class.clone();
         let team = pending.team.clone();
         let waiting = WaitingRequest { key, deadline_ms: pending.deadline_ms };
-        let answer_ms = self.endpoints.answer_ms_of(&class);
-        let slots = self.endpoints.slots_of(&class);
+        let answer_ms = self.endpoints.mean_answer_ms(&class);
+        let slots = self.endpoints.accepting_slots(&class);
         let len_max = self.options.settings.queue_max as usize;
         let queued = self.class_queues.get(&class).map_or(0, |it| it.queue.len());
         let wait_ms = admission::expected_wait_ms(queued, slots, answer_ms);
-        if pending.left_ms(now) <= wait_ms + answer_ms as u64 {
+        if pending.remaining_ms(now) <= wait_ms + answer_ms as u64 {
             let detail =
                 format_compact!("{queued} requests are ahead, about {wait_ms} ms of waiting");
             return self.refuse(
@@ -182,8 +183,8 @@
                 refusal_with_retry_after(ErrorKind::WouldMissDeadline, detail, wait_ms.max(50)),
             );
         }
-        let line = class_queue(&mut self.class_queues, &class);
-        match line.queue.push(&team, waiting, len_max) {
+        let target_queue = class_queue(&mut self.class_queues, &class);
+        match target_queue.queue.push(&team, waiting, len_max) {
             Ok(None) => (),
             Ok(Some(displaced)) => {
                 let detail = "the queue is full, and this team fills more than its share";
@@ -205,30 +206,30 @@
                 );
             }
         }
-        self.schedule_drop(now, key);
+        self.schedule_expiry(now, key);
     }
 
-    /// Looks at a waiting request again when it can no longer be answered in time.
-    pub(super) fn schedule_drop(&mut self, now: Now, key: PendingRequestKey) {
+    /// Sets a timer for when a waiting request can no longer be answered in time.
+    pub(super) fn schedule_expiry(&mut self, now: Now, key: PendingRequestKey) {
         let Some(pending) = self.pending_requests.get(key) else { return };
-        let answer_ms = self.endpoints.answer_ms_of(&pending.caller_request.class) as u64;
+        let answer_ms = self.endpoints.mean_answer_ms(&pending.caller_request.class) as u64;
         let at_ms = pending.deadline_ms.saturating_sub(answer_ms).max(now.mono_ms + 1);
         self.timers.insert((at_ms, key));
     }
 
-    /// Begins waiting requests of a class as far as endpoints take them.
-    pub(super) fn pump(&mut self, now: Now, class: &str) {
+    /// Sends queued requests of a class until no endpoint admits the next one.
+    pub(super) fn dispatch_queued(&mut self, now: Now, class: &str) {
         loop {
             let Some(next) = self.class_queues.get_mut(class).and_then(|it| it.queue.pop()) else {
                 return;
             };
             if !self.try_begin(now, next.key) {
-                return self.enqueue_again(next);
+                return self.requeue(next);
             }
         }
     }
 
-    pub(super) fn pump_all(&mut self, now: Now) {
+    pub(super) fn dispatch_all_queued(&mut self, now: Now) {
         let classes: Vec<_> = self
             .class_queues
             .iter()
@@ -236,16 +237,16 @@
             .map(|(class, _)| class.clone())
             .collect();
         for it in classes {
-            self.pump(now, &it);
+            self.dispatch_queued(now, &it);
         }
     }
 
-    /// Puts back what was taken from its queue a moment ago.
-    pub(super) fn enqueue_again(&mut self, it: WaitingRequest<PendingRequestKey>) {
-        let Some(pending) = self.pending_requests.get(it.key) else { return };
+    /// Returns a request just taken from its queue to the front.
+    pub(super) fn requeue(&mut self, waiting: WaitingRequest<PendingRequestKey>) {
+        let Some(pending) = self.pending_requests.get(waiting.key) else { return };
         let team = pending.team.clone();
         class_queue(&mut self.class_queues, &pending.caller_request.class)
             .queue
-            .push_front(&team, it);
+            .push_front(&team, waiting);
     }
 }
--- a/src/entry/core/attempts.rs
+++ b/src/entry/core/attempts.rs
@@ -1,10 +1,13 @@
-//! Attempts of quick requests: sent, answered, repeated, given up.
+//! Attempts of quick requests: sending, replies, retries and refusals.
 
 use std::net::SocketAddr;
 
 use crate::{
     entry::{
-        core::{ASK_MS, ATTEMPT_MIN_MS, ControlToken, EntryCore, FOLLOW_UNKNOWN_MS, class_queue},
+        core::{
+            ATTEMPT_TIMEOUT_MIN_MS, ControlToken, EntryCore, OUTCOME_QUERY_INTERVAL_MS,
+            UNKNOWN_OUTCOME_FOLLOW_MS, class_queue,
+        },
         endpoints::EndpointKey,
         pending_request::{Attempt, PendingRequestKey, Stage},
         request::CallerAnswer,
@@ -17,13 +20,13 @@
 };
 
 impl EntryCore {
-    /// Sends a request to an endpoint, or claims its key first; returns false where no endpoint
-    /// takes it now.
+    /// Sends a request to an endpoint, or claims its key first; returns false if no endpoint admits
+    /// it now.
     pub(super) fn try_begin(&mut self, now: Now, key: PendingRequestKey) -> bool {
         let Some(pending) = self.pending_requests.get_mut(key) else { return true };
         let class = pending.caller_request.class.clone();
         let chosen = self.endpoints.choose(&class, &pending.tried_endpoints, now, &mut self.random);
-        // Where every endpoint was tried, the first ones may have recovered.
+        // If no untried endpoint admits the request, one that was tried may have recovered.
         let chosen = match chosen {
             None if !pending.tried_endpoints.is_empty() => {
                 self.endpoints.choose(&class, &[], now, &mut self.random)
@@ -40,7 +43,7 @@
         true
     }
 
-    /// Sends one attempt to an endpoint already counted.
+    /// Sends one attempt to an endpoint that counts it as in flight already.
     pub(super) fn send_attempt(&mut self, now: Now, key: PendingRequestKey, endpoint: EndpointKey) {
         let (Some(pending), Some(target)) =
             (self.pending_requests.get_mut(key), self.endpoints.get(endpoint))
@@ -48,7 +51,7 @@
             return;
         };
         pending.attempts_made += 1;
-        // A claimed attempt bears the claim's number, by which others may ask about it.
+        // An attempt under a claim has the claim's number, by which other requests may query it.
         let number =
             if pending.is_idempotent() { pending.attempts_made } else { pending.claim_attempt };
         pending.attempts.push(Attempt {
@@ -57,11 +60,13 @@
             endpoint_id: target.id,
             sent_ms: now.mono_ms,
         });
-        let left_ms = pending.left_ms(now);
+        let remaining_ms = pending.remaining_ms(now);
         let usual_ms = target.answer_time.mean_ms() as u64;
-        // An attempt that takes several times the usual is worth a second one, while there is
-        // time left for it to be answered.
-        let wait_ms = (usual_ms * 6).max(ATTEMPT_MIN_MS).min((left_ms / 2).max(ATTEMPT_MIN_MS));
+        // Waits six times the usual answer time before another attempt or an outcome query, but at
+        // most half the remaining time, so that a reply can still arrive in time.
+        let wait_ms = (usual_ms * 6)
+            .max(ATTEMPT_TIMEOUT_MIN_MS)
+            .min((remaining_ms / 2).max(ATTEMPT_TIMEOUT_MIN_MS));
         let next_action_ms = now.mono_ms + wait_ms;
         pending.stage = Stage::InFlight { next_action_ms };
         let execute = Execute {
@@ -72,7 +77,7 @@
             team: pending.team.clone(),
             class: pending.caller_request.class.clone(),
             path: pending.caller_request.path.clone(),
-            deadline_ms: left_ms.min(u32::MAX.into()) as u32,
+            deadline_ms: remaining_ms.min(u32::MAX.into()) as u32,
             idempotent: pending.is_idempotent(),
             body: serde_bytes::ByteBuf::from(pending.caller_request.body.clone()),
         };
@@ -81,13 +86,13 @@
         self.send(to, Message::Execute(execute));
     }
 
-    /// Looks at a request again at a time.
+    /// Sets a timer for a request.
     pub(super) fn schedule(&mut self, at_ms: u64, key: PendingRequestKey) {
         self.timers.insert((at_ms, key));
     }
 
-    /// Does what is due for a request.
-    pub(super) fn act(&mut self, now: Now, key: PendingRequestKey) {
+    /// Handles a timer of a request according to its deadline and stage.
+    pub(super) fn handle_timer(&mut self, now: Now, key: PendingRequestKey) {
         let Some(pending) = self.pending_requests.get(key) else { return };
         if pending.deadline_ms <= now.mono_ms {
             return self.on_deadline(now, key);
@@ -95,8 +100,8 @@
         match pending.stage {
             Stage::Waiting => {
                 let class = pending.caller_request.class.clone();
-                let answer_ms = self.endpoints.answer_ms_of(&class) as u64;
-                if pending.left_ms(now) <= answer_ms {
+                let answer_ms = self.endpoints.mean_answer_ms(&class) as u64;
+                if pending.remaining_ms(now) <= answer_ms {
                     let detail = "it waited until too little time was left";
                     self.refuse(
                         now,
@@ -104,12 +109,12 @@
                         refusal_with_retry_after(ErrorKind::WouldMissDeadline, detail, 100),
                     );
                 } else {
-                    self.pump(now, &class);
-                    self.schedule_drop(now, key);
+                    self.dispatch_queued(now, &class);
+                    self.schedule_expiry(now, key);
                 }
             }
             Stage::Following { next_lookup_ms, .. } if next_lookup_ms <= now.mono_ms => {
-                self.look_at_claim(now, key)
+                self.query_claim(now, key)
             }
             Stage::InFlight { next_action_ms }
                 if next_action_ms <= now.mono_ms && pending.is_idempotent() =>
@@ -117,19 +122,21 @@
                 self.hedge(now, key)
             }
             Stage::InFlight { next_action_ms } if next_action_ms <= now.mono_ms => {
-                self.ask_own(now, key)
+                self.query_own_attempts(now, key)
             }
             _ => (),
         }
     }
 
-    /// Makes another attempt beside one that is slow to answer.
+    /// Sends another attempt while a slow one is still open, if limit and budget allow.
     pub(super) fn hedge(&mut self, now: Now, key: PendingRequestKey) {
         let Some(pending) = self.pending_requests.get_mut(key) else { return };
         pending.may_have_run = true;
         let slow: Vec<_> =
             pending.attempts.iter().map(|it| (it.endpoint, it.endpoint_id)).collect();
-        if pending.attempts_made < self.options.settings.attempts_max && self.budget.try_spend() {
+        if pending.attempts_made < self.options.settings.attempts_max
+            && self.retry_budget.try_spend()
+        {
             pending.tried_endpoints.extend(slow.iter().map(|(_, id)| *id));
             self.metrics.count_retry(RetryReason::NoAnswer);
             for (endpoint, _) in slow {
@@ -179,14 +186,14 @@
                 );
             }
             Stage::Claiming { .. } | Stage::InFlight { .. } => {
-                let sent = matches!(pending.stage, Stage::InFlight { .. });
-                // The caller is told now; the claim is followed, so that a resend learns more.
-                pending.deadline_ms = now.mono_ms + FOLLOW_UNKNOWN_MS;
+                let is_sent = matches!(pending.stage, Stage::InFlight { .. });
+                // The claim is followed after this answer, so that a resend can get the outcome.
+                pending.deadline_ms = now.mono_ms + UNKNOWN_OUTCOME_FOLLOW_MS;
                 self.timers.insert((pending.deadline_ms, key));
                 let Some(token) = pending.token.take() else {
-                    return self.give_up_following(now, key);
+                    return self.stop_following(now, key);
                 };
-                let refusal = match sent {
+                let refusal = match is_sent {
                     true => refusal(
                         ErrorKind::OutcomeUnknown,
                         "it was sent and no answer arrived by its deadline",
@@ -211,7 +218,7 @@
             .map(|(key, _)| key);
         let affected: Vec<_> = affected.collect();
         for key in affected {
-            // What was sent may be lost: no reason to wait for the usual time.
+            // The attempt may be lost, so its usual answer time is not waited for.
             if let Some(pending) = self.pending_requests.get_mut(key)
                 && let Stage::InFlight { next_action_ms } = &mut pending.stage
             {
@@ -221,22 +228,22 @@
         }
     }
 
-    pub(super) fn on_execute_reply(&mut self, now: Now, it: ExecuteReply) {
-        if let Some(key) = self.endpoints.key_of(it.endpoint)
+    pub(super) fn on_execute_reply(&mut self, now: Now, reply: ExecuteReply) {
+        if let Some(key) = self.endpoints.key_of(reply.endpoint)
             && let Some(endpoint) = self.endpoints.get_mut(key)
         {
-            endpoint.note_load(it.load, now);
+            endpoint.note_load(reply.load, now);
         }
-        if let Some(key) = self.outcome_queries.remove(&(it.request, it.attempt)) {
-            return self.on_foreign_outcome(now, key, it);
+        if let Some(key) = self.outcome_queries.remove(&(reply.request, reply.attempt)) {
+            return self.on_foreign_outcome(now, key, reply);
         }
-        let found = self.by_request.get(&it.request).copied();
+        let found = self.keys_by_request.get(&reply.request).copied();
         let Some((key, pending)) =
             found.and_then(|key| Some((key, self.pending_requests.get_mut(key)?)))
         else {
-            let own =
-                it.request.boot == self.options.boot && it.request.number <= self.next_request;
-            return self.metrics.count_dropped_answer(if own {
+            let is_own = reply.request.boot == self.options.boot
+                && reply.request.number <= self.next_request;
+            return self.metrics.count_dropped_answer(if is_own {
                 AnswerDropReason::Late
             } else {
                 AnswerDropReason::UnknownRequest
@@ -245,18 +252,19 @@
         let position = pending
             .attempts
             .iter()
-            .position(|at| at.number == it.attempt && at.endpoint_id == it.endpoint);
+            .position(|it| it.number == reply.attempt && it.endpoint_id == reply.endpoint);
         let Some(position) = position else {
             return self.metrics.count_dropped_answer(AnswerDropReason::Late);
         };
-        if it.outcome == ExecuteOutcome::Running {
-            pending.stage = Stage::InFlight { next_action_ms: now.mono_ms + ASK_MS };
-            self.timers.insert((now.mono_ms + ASK_MS, key));
+        if reply.outcome == ExecuteOutcome::Running {
+            pending.stage =
+                Stage::InFlight { next_action_ms: now.mono_ms + OUTCOME_QUERY_INTERVAL_MS };
+            self.timers.insert((now.mono_ms + OUTCOME_QUERY_INTERVAL_MS, key));
             return;
         }
         let attempt = pending.attempts.remove(position);
         self.endpoints.note_ended(attempt.endpoint);
-        self.on_outcome(now, key, attempt, it.outcome);
+        self.on_outcome(now, key, attempt, reply.outcome);
     }
 
     pub(super) fn on_outcome(
@@ -272,7 +280,7 @@
                 self.on_failed(now, key, attempt, "its answer arrived damaged");
             }
             ExecuteOutcome::Answered(it) => self.on_answered(now, key, attempt, it),
-            ExecuteOutcome::Failed(why) => self.on_failed(now, key, attempt, &why),
+            ExecuteOutcome::Failed(reason) => self.on_failed(now, key, attempt, &reason),
             ExecuteOutcome::Refused(kind) => {
                 if reason_of_refusal(kind) != RetryReason::Busy {
                     self.endpoints.note_leaving(attempt.endpoint_id);
@@ -297,10 +305,10 @@
         now: Now,
         key: PendingRequestKey,
         attempt: Attempt,
-        it: Answer,
+        answer: Answer,
     ) {
         let answer_ms = now.mono_ms.saturating_sub(attempt.sent_ms);
-        let is_error = 500 <= it.status;
+        let is_error = 500 <= answer.status;
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
             endpoint.answer_time.observe(answer_ms as f64);
             if !is_error {
@@ -310,35 +318,35 @@
         if is_error {
             self.note_failure(now, attempt.endpoint);
         } else {
-            self.budget.earn();
+            self.retry_budget.earn();
         }
         let Some(pending) = self.pending_requests.get_mut(key) else { return };
         if is_error && pending.is_idempotent() {
-            // Another endpoint may do better; if none does, the caller gets this answer.
-            pending.error_answer = Some(it);
+            // Retries elsewhere; if no attempt succeeds, the caller gets this answer.
+            pending.error_answer = Some(answer);
             return self.retry(now, key, attempt.endpoint_id, RetryReason::Failed);
         }
         if !pending.is_idempotent() {
-            self.settle_done(now, key, &it);
+            self.settle_done(now, key, &answer);
         }
-        self.pass_on(now, key, it);
+        self.forward_answer(now, key, answer);
     }
 
-    /// Answers the caller with an endpoint's answer.
-    pub(super) fn pass_on(&mut self, now: Now, key: PendingRequestKey, it: Answer) {
+    /// Forwards an endpoint's answer to the caller, and records the answer time.
+    pub(super) fn forward_answer(&mut self, now: Now, key: PendingRequestKey, answer: Answer) {
         let Some(pending) = self.pending_requests.get(key) else { return };
         let total_ms = now.mono_ms.saturating_sub(pending.arrived_ms);
         let attempts = pending.attempts_made;
         let class = pending.caller_request.class.clone();
         self.metrics.observe_answer(&class, total_ms as f64 / 1_000.0);
-        class_queue(&mut self.class_queues, &class).answers.saturating_record(total_ms.max(1));
-        let answer = CallerAnswer::Quick {
-            status: it.status,
-            content_type: it.content_type,
-            body: it.body.into_vec(),
+        class_queue(&mut self.class_queues, &class).answer_times.saturating_record(total_ms.max(1));
+        let caller_answer = CallerAnswer::Quick {
+            status: answer.status,
+            content_type: answer.content_type,
+            body: answer.body.into_vec(),
             attempts,
         };
-        self.finish(now, key, answer);
+        self.finish(now, key, caller_answer);
     }
 
     pub(super) fn on_failed(
@@ -346,7 +354,7 @@
         now: Now,
         key: PendingRequestKey,
         attempt: Attempt,
-        why: &str,
+        reason: &str,
     ) {
         self.note_failure(now, attempt.endpoint);
         let Some(pending) = self.pending_requests.get_mut(key) else { return };
@@ -354,24 +362,24 @@
         if pending.is_idempotent() {
             return self.retry(now, key, attempt.endpoint_id, RetryReason::Failed);
         }
-        let detail = format_compact!("the endpoint failed while it ran: {why}");
+        let detail = format_compact!("the endpoint failed while it ran: {reason}");
         self.settle(now, key, ClaimOutcome::Unknown, ControlToken::NoReply);
         self.refuse(now, key, refusal(ErrorKind::OutcomeUnknown, detail));
     }
 
     pub(super) fn note_failure(&mut self, now: Now, endpoint: EndpointKey) {
         let Some(class) = self.endpoints.get(endpoint).map(|it| it.class.clone()) else { return };
-        let out_permille = self.endpoints.out_permille(&class, endpoint, now);
+        let ejected_permille = self.endpoints.ejected_permille(&class, endpoint, now);
         if let Some(it) = self.endpoints.get_mut(endpoint) {
-            let was_out = it.ejection.is_ejected_or_probing();
-            it.ejection.note_failure(now.mono_ms, out_permille);
-            if it.ejection.is_ejected_or_probing() && !was_out {
+            let was_ejected_or_probing = it.ejection.is_ejected_or_probing();
+            it.ejection.note_failure(now.mono_ms, ejected_permille);
+            if it.ejection.is_ejected_or_probing() && !was_ejected_or_probing {
                 self.metrics.ejections.inc();
             }
         }
     }
 
-    /// Makes another attempt, if budget and time allow.
+    /// Makes another attempt, if the attempt limit, the retry budget and the time allow.
     pub(super) fn retry(
         &mut self,
         now: Now,
@@ -385,74 +393,74 @@
             return;
         }
         if pending.token.is_none() {
-            // Its caller was told already; nothing new is begun for it.
+            // The caller has been answered already; no new attempt is started.
             return self.give_up(now, key, ErrorKind::DeadlineExpiredQueued);
         }
         if self.options.settings.attempts_max <= pending.attempts_made {
             return self.give_up(now, key, ErrorKind::AttemptsExhausted);
         }
-        if !self.budget.try_spend() {
+        if !self.retry_budget.try_spend() {
             return self.give_up(now, key, ErrorKind::RetryBudgetExhausted);
         }
         self.metrics.count_retry(reason);
         pending.stage = Stage::Waiting;
-        if !self.endpoints.has_open(&pending.caller_request.class) {
+        if !self.endpoints.has_accepting(&pending.caller_request.class) {
             self.give_up(now, key, ErrorKind::NoEndpoint)
         } else if !self.try_begin(now, key) {
             self.enqueue(now, key);
         }
     }
 
-    /// Gives the final answer to a request that is not tried again.
+    /// Refuses a request that is not retried any more.
     pub(super) fn give_up(&mut self, now: Now, key: PendingRequestKey, kind: ErrorKind) {
         let Some(pending) = self.pending_requests.get(key) else { return };
-        let tried = pending.attempts_made;
-        let last = pending
+        let attempts = pending.attempts_made;
+        let last_refusal = pending
             .last_refusal
             .map(|it| format_compact!(", the last refused as {it}"))
             .unwrap_or_default();
-        let detail = format_compact!("{tried} attempts were made{last}");
+        let detail = format_compact!("{attempts} attempts were made{last_refusal}");
         let refusal = refusal_with_retry_after(kind, detail, 500);
         self.refuse(now, key, refusal);
     }
 
-    /// Answers with a refusal, and settles a claim of a request that did not run.
+    /// Answers with a refusal, and settles the claim of a request that did not run.
     ///
-    /// "Not run" must be true of the idempotency key, not only of this sending: before it is said
-    /// of a key, its claim is settled, or looked up where this request does not hold it.
+    /// A refusal that reports "not executed" must hold for the idempotency key, not only for this
+    /// request. So the claim is settled first, or looked up if this request does not hold it.
     pub(super) fn refuse(&mut self, now: Now, key: PendingRequestKey, refusal: Refusal) {
         let Some(pending) = self.pending_requests.get(key) else { return };
         if let Some(it) = pending.error_answer.clone() {
-            return self.pass_on(now, key, it);
+            return self.forward_answer(now, key, it);
         }
         let mut refusal = refusal;
         if pending.may_have_run
             && answer_for_error(refusal.kind).execution == ExecutionStatus::NotExecuted
         {
-            // Whatever ended it, an earlier attempt may have run.
+            // Whatever the cause of the refusal, an earlier attempt may have run.
             refusal.kind = ErrorKind::EndpointFailed;
         }
         let says_not_run = answer_for_error(refusal.kind).execution == ExecutionStatus::NotExecuted;
         let is_checked = matches!(pending.stage, Stage::Checking { .. });
         if says_not_run && !pending.is_idempotent() && !is_checked {
-            return self.check_key(now, key, refusal);
+            return self.check_key_before_refusal(now, key, refusal);
         }
         self.finish(now, key, CallerAnswer::Refused(refusal));
     }
 
-    /// Ends a request, and lets the next one of its class have its place.
+    /// Ends a request, and dispatches the next queued ones of its class.
     pub(super) fn finish(&mut self, now: Now, key: PendingRequestKey, answer: CallerAnswer) {
         self.leave_stage(key);
         let Some(pending) = self.pending_requests.remove(key) else { return };
-        self.by_request.remove(&pending.request);
+        self.keys_by_request.remove(&pending.request);
         if !pending.is_idempotent() {
-            // An agent that was asked for it may never answer.
+            // The agent that was queried may never reply.
             self.outcome_queries.retain(|_, it| *it != key);
         }
-        if let Some(it) = self.by_team.get_mut(&pending.team) {
+        if let Some(it) = self.in_flight_by_team.get_mut(&pending.team) {
             *it -= 1;
             if *it == 0 {
-                self.by_team.remove(&pending.team);
+                self.in_flight_by_team.remove(&pending.team);
             }
         }
         for it in &pending.attempts {
@@ -462,17 +470,18 @@
         if let Some(token) = pending.token {
             self.answer(token, answer);
         }
-        self.pump(now, class);
+        self.dispatch_queued(now, class);
     }
 
-    /// Gives back what a request holds in its stage: its place in the queue, or on an endpoint.
+    /// Releases the place of a request in its queue, or at an endpoint.
     pub(super) fn leave_stage(&mut self, key: PendingRequestKey) {
         let Some(pending) = self.pending_requests.get(key) else { return };
         match pending.stage {
             Stage::Claiming { endpoint } => self.endpoints.note_ended(endpoint),
             Stage::Waiting => {
-                if let Some(line) = self.class_queues.get_mut(&pending.caller_request.class) {
-                    line.queue.remove(key);
+                if let Some(target_queue) = self.class_queues.get_mut(&pending.caller_request.class)
+                {
+                    target_queue.queue.remove(key);
                 }
             }
             _ => (),
--- a/src/entry/core/claims.rs
+++ b/src/entry/core/claims.rs
@@ -1,9 +1,9 @@
-//! Non-idempotent requests: claimed in the log before they are sent, settled after.
+//! Non-idempotent requests: claimed in the log before they are sent, settled afterwards.
 
 use crate::{
     control::state::ReplyResult,
     entry::{
-        core::{ASK_MS, ControlToken, EntryCore},
+        core::{ControlToken, EntryCore, OUTCOME_QUERY_INTERVAL_MS},
         endpoints::EndpointKey,
         pending_request::{PendingRequestKey, Stage},
         request::CallerAnswer,
@@ -12,20 +12,21 @@
     util::checksum,
 };
 
-/// Interval at which a claim held by another request is looked at.
-const LOOK_MS: u64 = 150;
+/// Interval at which control is queried for a claim held by another request.
+const CLAIM_LOOKUP_INTERVAL_MS: u64 = 150;
 
-/// Age of a claim after which its agent is asked, since its entry may be gone.
-const STALE_MS: u64 = 2_000;
+/// Wait for another request's claim after which that claim's agent is queried, since its entry may
+/// have failed. Also the extra time for control's replies after a deadline.
+const STALE_CLAIM_MS: u64 = 2_000;
 
-/// Pause between two questions to the agent of such a claim.
-const ASK_AGAIN_MS: u64 = 1_000;
+/// Minimum interval between two queries to the agent of such a claim.
+const HOLDER_QUERY_INTERVAL_MS: u64 = 1_000;
 
-/// Largest answer kept with a claim.
-const KEPT_ANSWER_BYTES: usize = 16 * 1024;
+/// Largest answer body stored with a claim.
+const STORED_BODY_MAX_BYTES: usize = 16 * 1024;
 
 impl EntryCore {
-    /// Claims a request's key for an endpoint already counted.
+    /// Claims a request's key for an endpoint that counts it as in flight already.
     pub(super) fn claim(&mut self, now: Now, key: PendingRequestKey, endpoint: EndpointKey) {
         let (Some(pending), Some(target)) =
             (self.pending_requests.get_mut(key), self.endpoints.get(endpoint))
@@ -43,20 +44,25 @@
             endpoint: target.id,
             agent: target.agent,
         };
-        let deadline_ms = pending.deadline_ms + STALE_MS;
+        let deadline_ms = pending.deadline_ms + STALE_CLAIM_MS;
         let operation = Operation::Propose(Command::Claim(command));
         self.client.call(now, operation, deadline_ms, ControlToken::Claim(key));
     }
 
-    /// Settles a request's claim as not run, or looks its key up, before its caller is told so.
+    /// Settles a request's claim as not run, or looks its key up, before its caller is refused.
     ///
-    /// Control's answer decides: another sending of the key may have taken the claim over.
-    pub(super) fn check_key(&mut self, now: Now, key: PendingRequestKey, refusal: Refusal) {
+    /// Control's reply decides, since another request with the key may have taken over the claim.
+    pub(super) fn check_key_before_refusal(
+        &mut self,
+        now: Now,
+        key: PendingRequestKey,
+        refusal: Refusal,
+    ) {
         self.leave_stage(key);
         let Some(pending) = self.pending_requests.get_mut(key) else { return };
         pending.stage = Stage::Checking { refusal };
-        // A deadline that has passed already leaves a moment for the answer.
-        pending.deadline_ms = pending.deadline_ms.max(now.mono_ms + STALE_MS);
+        // Leaves time for control's reply even if the deadline has passed.
+        pending.deadline_ms = pending.deadline_ms.max(now.mono_ms + STALE_CLAIM_MS);
         let deadline_ms = pending.deadline_ms;
         if 0 < pending.claim_attempt {
             self.settle(now, key, ClaimOutcome::NotRun, ControlToken::Claim(key));
@@ -68,7 +74,7 @@
         self.schedule(deadline_ms, key);
     }
 
-    /// Takes in the state of a request's claim.
+    /// Handles control's reply on the claim of a request's key.
     pub(super) fn on_claim(&mut self, now: Now, key: PendingRequestKey, outcome: ReplyResult) {
         let Some(pending) = self.pending_requests.get_mut(key) else { return };
         if let Stage::Checking { refusal } = &pending.stage {
@@ -85,12 +91,12 @@
         let claim = match outcome {
             Ok(Reply::Claim(it)) => it,
             Ok(_) => return,
-            // Another claimed it a moment ago; its claim is looked at.
+            // Another request has just claimed the key; its claim is followed.
             Err(it) if it.kind == ErrorKind::ClaimInProgress => return self.follow(now, key, None),
             Err(it) => return self.refuse(now, key, it),
         };
         if claim.digest != pending.digest {
-            // Never another request's answer.
+            // Never answers with the outcome of a different request.
             let detail = format_compact!("key {} names another request", pending.key());
             let refusal = refusal(ErrorKind::KeyReused, detail);
             return self.finish(now, key, CallerAnswer::Refused(refusal));
@@ -104,8 +110,8 @@
                 let endpoint = *endpoint;
                 pending.claim_attempt = next;
                 if pending.token.is_none() {
-                    // Its caller was told that it was not run.
-                    return self.give_up_following(now, key);
+                    // The caller was refused at the deadline as not run, so nothing is sent.
+                    return self.stop_following(now, key);
                 }
                 self.send_attempt(now, key, endpoint);
             }
@@ -129,8 +135,8 @@
                 self.refuse(now, key, refusal(ErrorKind::OutcomeUnknown, detail));
             }
             (_, ClaimState::NotRun) => {
-                // Free again: this request goes on where the other stopped.
-                self.release_claiming(key);
+                // The key is free again: this request claims it with the next attempt number.
+                self.release_claiming_endpoint(key);
                 let Some(pending) = self.pending_requests.get_mut(key) else { return };
                 pending.claim_attempt = claim.attempt;
                 pending.stage = Stage::Waiting;
@@ -150,27 +156,32 @@
         }
     }
 
-    /// Waits for the outcome of the request that holds the claim, and asks its agent about it
-    /// once it is so old that its entry may be gone.
+    /// Waits for the outcome of the request that holds the claim, and queries the claim's agent
+    /// after [`STALE_CLAIM_MS`].
     fn follow(&mut self, now: Now, key: PendingRequestKey, claim: Option<&Claim>) {
-        self.release_claiming(key);
+        self.release_claiming_endpoint(key);
         let Some(pending) = self.pending_requests.get_mut(key) else { return };
         let query_sent_ms = match pending.stage {
             Stage::Following { query_sent_ms, .. } => query_sent_ms,
             _ => None,
         };
-        let is_stale = pending.arrived_ms + STALE_MS <= now.mono_ms;
-        let asked_lately = query_sent_ms.is_some_and(|it| now.mono_ms < it + ASK_AGAIN_MS);
-        let ask = claim.filter(|_| is_stale && !asked_lately);
-        let query_sent_ms = if ask.is_some() { Some(now.mono_ms) } else { query_sent_ms };
-        pending.stage = Stage::Following { next_lookup_ms: now.mono_ms + LOOK_MS, query_sent_ms };
-        self.schedule(now.mono_ms + LOOK_MS, key);
-        if let Some(it) = ask {
-            self.ask_agent_of(key, it);
+        let is_stale = pending.arrived_ms + STALE_CLAIM_MS <= now.mono_ms;
+        let is_recently_queried =
+            query_sent_ms.is_some_and(|it| now.mono_ms < it + HOLDER_QUERY_INTERVAL_MS);
+        let claim_to_query = claim.filter(|_| is_stale && !is_recently_queried);
+        let query_sent_ms =
+            if claim_to_query.is_some() { Some(now.mono_ms) } else { query_sent_ms };
+        pending.stage = Stage::Following {
+            next_lookup_ms: now.mono_ms + CLAIM_LOOKUP_INTERVAL_MS,
+            query_sent_ms,
+        };
+        self.schedule(now.mono_ms + CLAIM_LOOKUP_INTERVAL_MS, key);
+        if let Some(stale_claim) = claim_to_query {
+            self.query_claim_agent(key, stale_claim);
         }
     }
 
-    fn release_claiming(&mut self, key: PendingRequestKey) {
+    fn release_claiming_endpoint(&mut self, key: PendingRequestKey) {
         if let Some(Stage::Claiming { endpoint }) =
             self.pending_requests.get(key).map(|it| it.stage.clone())
         {
@@ -181,8 +192,8 @@
         }
     }
 
-    /// Asks control how the claim stands now.
-    pub(super) fn look_at_claim(&mut self, now: Now, key: PendingRequestKey) {
+    /// Queries control for the current state of the claim.
+    pub(super) fn query_claim(&mut self, now: Now, key: PendingRequestKey) {
         let Some(pending) = self.pending_requests.get_mut(key) else { return };
         if let Stage::Following { next_lookup_ms, .. } = &mut pending.stage {
             *next_lookup_ms = pending.deadline_ms;
@@ -193,11 +204,11 @@
         self.client.call(now, operation, deadline_ms, ControlToken::Claim(key));
     }
 
-    /// Asks the agent of a claim that another request holds what became of it.
+    /// Queries the agent of a claim that another request holds for the outcome of its attempt.
     ///
     /// An attempt that the agent has not seen by then never runs there, even if the holder's
-    /// message is still on its way; so whoever asks may go on.
-    fn ask_agent_of(&mut self, key: PendingRequestKey, claim: &Claim) {
+    /// message arrives later. So the request that sent the query may proceed.
+    fn query_claim_agent(&mut self, key: PendingRequestKey, claim: &Claim) {
         self.outcome_queries.insert((claim.request, claim.attempt), key);
         let query = OutcomeQuery {
             request: claim.request,
@@ -208,10 +219,10 @@
         self.send(claim.agent, Message::OutcomeQuery(query));
     }
 
-    /// Asks the agents of a request's own attempts what became of them.
-    pub(super) fn ask_own(&mut self, now: Now, key: PendingRequestKey) {
+    /// Queries the agents of a request's own attempts for their outcomes.
+    pub(super) fn query_own_attempts(&mut self, now: Now, key: PendingRequestKey) {
         let Some(pending) = self.pending_requests.get_mut(key) else { return };
-        pending.stage = Stage::InFlight { next_action_ms: now.mono_ms + ASK_MS };
+        pending.stage = Stage::InFlight { next_action_ms: now.mono_ms + OUTCOME_QUERY_INTERVAL_MS };
         let request = pending.request;
         let attempts = pending.attempts.clone();
         for it in attempts {
@@ -224,19 +235,19 @@
             };
             self.send(to, Message::OutcomeQuery(query));
         }
-        self.schedule(now.mono_ms + ASK_MS, key);
+        self.schedule(now.mono_ms + OUTCOME_QUERY_INTERVAL_MS, key);
     }
 
-    /// Takes in what an agent says of an attempt of another request with the same key.
+    /// Handles an agent's reply about an attempt of another request with the same key.
     pub(super) fn on_foreign_outcome(
         &mut self,
         now: Now,
         key: PendingRequestKey,
-        it: ExecuteReply,
+        reply: ExecuteReply,
     ) {
-        let outcome = match it.outcome {
+        let outcome = match reply.outcome {
             ExecuteOutcome::Answered(answer) if checksum(&answer.body) == answer.checksum => {
-                ClaimOutcome::Done(stored(&answer))
+                ClaimOutcome::Done(stored_answer(&answer))
             }
             ExecuteOutcome::Answered(_) | ExecuteOutcome::Failed(_) => ClaimOutcome::Unknown,
             ExecuteOutcome::Refused(_) | ExecuteOutcome::NotSeen => ClaimOutcome::NotRun,
@@ -246,7 +257,7 @@
         let command = SettleCommand {
             team: pending.team.clone(),
             key: pending.key(),
-            attempt: it.attempt,
+            attempt: reply.attempt,
             outcome,
         };
         let deadline_ms = pending.deadline_ms;
@@ -254,12 +265,12 @@
         self.client.call(now, operation, deadline_ms, ControlToken::Claim(key));
     }
 
-    /// Records the answer of a request's own attempt.
+    /// Settles a request's claim with an answer.
     pub(super) fn settle_done(&mut self, now: Now, key: PendingRequestKey, answer: &Answer) {
-        self.settle(now, key, ClaimOutcome::Done(stored(answer)), ControlToken::NoReply);
+        self.settle(now, key, ClaimOutcome::Done(stored_answer(answer)), ControlToken::NoReply);
     }
 
-    /// Records how a request's own attempt ended.
+    /// Settles a request's claim with the outcome of its attempt.
     pub(super) fn settle(
         &mut self,
         now: Now,
@@ -280,8 +291,8 @@
         self.client.call(now, Operation::Propose(Command::Settle(command)), deadline_ms, token);
     }
 
-    /// Ends a request whose caller has been answered.
-    pub(super) fn give_up_following(&mut self, now: Now, key: PendingRequestKey) {
+    /// Settles and ends a request whose caller has been answered.
+    pub(super) fn stop_following(&mut self, now: Now, key: PendingRequestKey) {
         let Some(pending) = self.pending_requests.get(key) else { return };
         let outcome = match pending.stage {
             Stage::InFlight { .. } => ClaimOutcome::Unknown,
@@ -293,12 +304,13 @@
     }
 }
 
-/// Returns an answer as it is kept with its claim.
-fn stored(it: &Answer) -> StoredAnswer {
-    let body = std::str::from_utf8(&it.body).ok().filter(|it| it.len() <= KEPT_ANSWER_BYTES);
+/// Returns an answer as stored with its claim: without a body that is too large or not UTF-8.
+fn stored_answer(answer: &Answer) -> StoredAnswer {
+    let body =
+        std::str::from_utf8(&answer.body).ok().filter(|it| it.len() <= STORED_BODY_MAX_BYTES);
     StoredAnswer {
-        status: it.status,
-        content_type: it.content_type.clone(),
+        status: answer.status,
+        content_type: answer.content_type.clone(),
         body: body.unwrap_or_default().into(),
         body_kept: body.is_some(),
     }
--- a/src/entry/core/mod.rs
+++ b/src/entry/core/mod.rs
@@ -1,4 +1,4 @@
-//! One entry, without its I/O.
+//! State machine of an entry, without I/O.
 
 mod admission;
 mod attempts;
@@ -28,31 +28,31 @@
     schema::settings::EntrySettings,
 };
 
-/// Interval of reports to control.
+/// Interval of heartbeats to control.
 const HEARTBEAT_MS: u64 = 1_000;
 
-/// Heartbeats without an answer before another control process is tried.
-const SILENT_HEARTBEATS: u32 = 3;
+/// Unanswered heartbeats after which another control process is tried.
+const UNANSWERED_HEARTBEATS_MAX: u32 = 3;
 
-/// Heartbeats over which answer times are gathered before they are reported anew.
-const LATENCY_HEARTBEATS: u32 = 10;
+/// Heartbeats after which the histograms of answer times are reset.
+const LATENCY_WINDOW_HEARTBEATS: u32 = 10;
 
-/// Interval at which a held poll asks control again.
-const POLL_MS: u64 = 250;
+/// Interval at which control is queried for a held poll.
+const POLL_INTERVAL_MS: u64 = 250;
 
-/// Interval at which an agent is asked what became of an attempt.
-pub(super) const ASK_MS: u64 = 200;
+/// Interval at which an agent is queried for the outcome of an attempt.
+pub(super) const OUTCOME_QUERY_INTERVAL_MS: u64 = 200;
 
-/// How long an attempt whose caller was told "unknown" is still followed.
-const FOLLOW_UNKNOWN_MS: u64 = 30_000;
+/// How long a claim or attempt is followed after its caller was refused.
+const UNKNOWN_OUTCOME_FOLLOW_MS: u64 = 30_000;
 
-/// Requests open in an entry beyond which not even keys are looked up any more.
-const LOOKUPS_MAX: usize = 20_000;
+/// Pending quick requests at which an entry that refuses new ones stops looking up their keys.
+const KEY_LOOKUP_PENDING_MAX: usize = 20_000;
 
-/// Shortest time that an attempt is given before another is made.
-const ATTEMPT_MIN_MS: u64 = 20;
+/// Shortest wait for a reply before a retry or a query to the agent.
+const ATTEMPT_TIMEOUT_MIN_MS: u64 = 20;
 
-/// What one entry is told by its settings.
+/// Options of an entry.
 #[derive(Clone, Debug)]
 pub struct EntryOptions {
     pub name: CompactString,
@@ -60,38 +60,38 @@
     pub address: SocketAddr,
     pub control_addresses: Vec<SocketAddr>,
     pub settings: EntrySettings,
-    /// Random number of this process.
+    /// Random number of this process; part of its request ids.
     pub boot: u64,
 }
 
-/// What an operation of control was for.
+/// Purpose of an operation sent to control.
 #[derive(Clone, Debug)]
 pub(super) enum ControlToken {
     Caller(u64),
     Poll(u64),
-    /// A claim, a settlement or a look at a claim, for a quick request.
+    /// A claim, settlement or claim query of a quick request.
     Claim(PendingRequestKey),
-    /// Nobody waits for it.
+    /// The reply is ignored.
     NoReply,
 }
 
-/// A poll that is held until there is something to tell.
+/// A poll held until it has a result or expires.
 #[derive(Clone, Debug)]
 struct Poll {
     query: Query,
-    until_ms: u64,
-    /// When control is asked again; not while an answer is due.
-    ask_at_ms: Option<u64>,
+    expires_ms: u64,
+    /// When control is queried next; `None` while a reply is outstanding.
+    next_query_ms: Option<u64>,
 }
 
-/// The quick requests of one class that wait, and the class's answer times.
+/// Waiting requests and answer times of one class.
 #[derive(Debug)]
 struct ClassQueue {
     queue: FairQueue<PendingRequestKey>,
-    answers: Histogram<u32>,
+    answer_times: Histogram<u32>,
 }
 
-/// One entry.
+/// An entry, without its I/O.
 pub struct EntryCore {
     pub(super) options: EntryOptions,
     metrics: Arc<Metrics>,
@@ -100,25 +100,25 @@
     configuration: AdoptedConfiguration,
     pub(super) endpoints: Endpoints,
     pub(super) pending_requests: SlotMap<PendingRequestKey, PendingRequest>,
-    by_request: HashMap<RequestId, PendingRequestKey>,
-    /// Attempts of other requests that agents were asked about, by who asked.
+    keys_by_request: HashMap<RequestId, PendingRequestKey>,
+    /// Queried attempts of other requests, with the request that waits for the reply.
     pub(super) outcome_queries: HashMap<(RequestId, u32), PendingRequestKey>,
     timers: BTreeSet<(u64, PendingRequestKey)>,
     class_queues: BTreeMap<CompactString, ClassQueue>,
-    by_team: HashMap<CompactString, u32>,
+    in_flight_by_team: HashMap<CompactString, u32>,
     polls: BTreeMap<u64, Poll>,
-    budget: RetryBudget,
+    retry_budget: RetryBudget,
     next_request: u64,
-    operations: usize,
-    heartbeat_at_ms: u64,
+    open_operations: usize,
+    next_heartbeat_ms: u64,
     unanswered_heartbeats: u32,
-    latency_age: u32,
-    draining: bool,
+    latency_window_heartbeats: u32,
+    is_draining: bool,
     effects: Vec<Effect>,
 }
 
 impl EntryCore {
-    /// Makes an entry that knows no configuration and no endpoints yet.
+    /// Returns an entry without configuration and endpoints.
     pub fn new(options: EntryOptions, metrics: Arc<Metrics>) -> EntryCore {
         EntryCore {
             random: fastrand::Rng::with_seed(options.boot),
@@ -127,45 +127,48 @@
                 options.control_addresses.clone(),
                 options.boot,
             ),
-            budget: RetryBudget::new(options.settings.retry_budget_permille),
+            retry_budget: RetryBudget::new(options.settings.retry_budget_permille),
             options,
             metrics,
             configuration: AdoptedConfiguration::new(),
             endpoints: Endpoints::default(),
             pending_requests: SlotMap::with_key(),
-            by_request: HashMap::new(),
+            keys_by_request: HashMap::new(),
             outcome_queries: HashMap::new(),
             timers: BTreeSet::new(),
             class_queues: BTreeMap::new(),
-            by_team: HashMap::new(),
+            in_flight_by_team: HashMap::new(),
             polls: BTreeMap::new(),
             next_request: 0,
-            operations: 0,
-            heartbeat_at_ms: 0,
+            open_operations: 0,
+            next_heartbeat_ms: 0,
             unanswered_heartbeats: 0,
-            latency_age: 0,
-            draining: false,
+            latency_window_heartbeats: 0,
+            is_draining: false,
             effects: Vec::new(),
         }
     }
 
-    /// Returns the configuration revision in force here.
+    /// Returns the revision of the configuration in force.
     pub fn in_force(&self) -> Revision {
         self.configuration.revision()
     }
 
-    /// Returns whether callers may be sent here: it has a configuration and is not stopping.
+    /// Returns whether this entry accepts requests: it has a configuration and is not stopping.
     pub fn is_ready(&self) -> bool {
-        Revision(0) < self.configuration.revision() && !self.draining
+        Revision(0) < self.configuration.revision() && !self.is_draining
     }
 
-    /// Returns whether a planned stop has nothing left to wait for.
+    /// Returns whether the entry is stopping and no caller waits any more.
     pub fn is_drained(&self) -> bool {
-        let owed = self.pending_requests.values().any(|it| it.token.is_some());
-        self.draining && !owed && self.polls.is_empty() && self.operations == 0
+        let has_waiting_callers = self.pending_requests.values().any(|it| it.token.is_some());
+        self.is_draining
+            && !has_waiting_callers
+            && self.polls.is_empty()
+            && self.open_operations == 0
     }
 
-    /// Returns the quick requests under way.
+    /// Returns the number of unfinished quick requests.
     pub fn in_flight(&self) -> usize {
         self.pending_requests.len()
     }
@@ -176,13 +179,13 @@
         let poll_ms = self
             .polls
             .values()
-            .map(|it| it.ask_at_ms.unwrap_or(it.until_ms).min(it.until_ms))
+            .map(|it| it.next_query_ms.unwrap_or(it.expires_ms).min(it.expires_ms))
             .min();
         let client_ms = self.client.next_tick_ms().unwrap_or(u64::MAX);
-        self.heartbeat_at_ms.min(timer_ms).min(poll_ms.unwrap_or(u64::MAX)).min(client_ms)
+        self.next_heartbeat_ms.min(timer_ms).min(poll_ms.unwrap_or(u64::MAX)).min(client_ms)
     }
 
-    /// Takes the effects of the inputs so far.
+    /// Takes the effects of the inputs handled so far.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         let mut res = std::mem::take(&mut self.effects);
         res.extend(
@@ -194,7 +197,7 @@
         res
     }
 
-    /// Takes in one input.
+    /// Handles one input and all due timers.
     pub fn handle(&mut self, now: Now, input: Input) {
         match input {
             Input::Message { from, in_force, message } => {
@@ -235,41 +238,42 @@
             && at_ms <= now.mono_ms
         {
             self.timers.pop_first();
-            self.act(now, key);
+            self.handle_timer(now, key);
         }
         self.tick_polls(now);
-        if self.heartbeat_at_ms <= now.mono_ms {
+        if self.next_heartbeat_ms <= now.mono_ms {
             self.heartbeat(now);
         }
     }
 
     fn stop(&mut self, now: Now) {
-        self.draining = true;
-        // A held poll has lost nothing: its caller reads on from its cursor elsewhere.
+        self.is_draining = true;
+        // Ending a held poll loses no events: its caller continues from its cursor elsewhere.
         for it in self.polls.values_mut() {
-            it.until_ms = now.mono_ms;
+            it.expires_ms = now.mono_ms;
         }
     }
 
     fn heartbeat(&mut self, now: Now) {
-        self.heartbeat_at_ms = now.mono_ms + HEARTBEAT_MS;
-        if SILENT_HEARTBEATS <= self.unanswered_heartbeats {
+        self.next_heartbeat_ms = now.mono_ms + HEARTBEAT_MS;
+        if UNANSWERED_HEARTBEATS_MAX <= self.unanswered_heartbeats {
             self.unanswered_heartbeats = 0;
             self.client.try_next();
         }
         let Some(to) = self.client.target() else { return };
         self.unanswered_heartbeats += 1;
-        let latencies =
-            self.class_queues.iter().filter(|(_, it)| !it.answers.is_empty()).map(|(class, it)| {
+        let latencies = self.class_queues.iter().filter(|(_, it)| !it.answer_times.is_empty()).map(
+            |(class, it)| {
                 let permille =
                     self.configuration.class(class).map_or(990, |it| it.answer_percentile_permille);
                 ClassLatency {
                     class: class.clone(),
-                    answers: it.answers.len() as u32,
-                    percentile_ms: it.answers.value_at_quantile(f64::from(permille) / 1_000.0)
+                    answers: it.answer_times.len() as u32,
+                    percentile_ms: it.answer_times.value_at_quantile(f64::from(permille) / 1_000.0)
                         as u32,
                 }
-            });
+            },
+        );
         let heartbeat = EntryHeartbeat {
             name: self.options.name.clone(),
             zone: self.options.zone.clone(),
@@ -280,10 +284,10 @@
             directory_version: self.endpoints.version,
             latencies: latencies.collect(),
         };
-        self.latency_age += 1;
-        if LATENCY_HEARTBEATS <= self.latency_age {
-            self.latency_age = 0;
-            self.class_queues.values_mut().for_each(|it| it.answers.reset());
+        self.latency_window_heartbeats += 1;
+        if LATENCY_WINDOW_HEARTBEATS <= self.latency_window_heartbeats {
+            self.latency_window_heartbeats = 0;
+            self.class_queues.values_mut().for_each(|it| it.answer_times.reset());
         }
         self.send(to, Message::EntryHeartbeat(heartbeat));
     }
@@ -298,19 +302,19 @@
             }
             Message::EntryHeartbeatReply(it) if it.boot == self.options.boot => {
                 self.unanswered_heartbeats = 0;
-                if let Some(news) = it.configuration {
-                    self.configuration.adopt(news);
+                if let Some(configuration) = it.configuration {
+                    self.configuration.adopt(configuration);
                 }
                 if let Some(update) = it.directory {
                     let zone = self.options.zone.clone();
                     self.endpoints.update(update, &zone, now);
-                    self.pump_all(now);
+                    self.dispatch_all_queued(now);
                 }
             }
             Message::NotLeader(hint) => {
                 self.unanswered_heartbeats = 0;
                 self.client.set_leader(hint);
-                self.heartbeat_at_ms = self.heartbeat_at_ms.min(now.mono_ms + HEARTBEAT_MS / 5);
+                self.next_heartbeat_ms = self.next_heartbeat_ms.min(now.mono_ms + HEARTBEAT_MS / 5);
             }
             Message::EndpointLeaving(it) => self.endpoints.note_leaving(it.endpoint),
             Message::ConfigUpdate(it) => self.configuration.adopt_from_peer(it),
@@ -323,11 +327,11 @@
     }
 
     fn on_request(&mut self, now: Now, token: u64, team: CompactString, request: CallerRequest) {
-        let open = self.pending_requests.len() + self.polls.len() + self.operations;
+        let open = self.pending_requests.len() + self.polls.len() + self.open_operations;
         let request = match (self.check_request_limit(open), request) {
-            // A keyed request that cannot be served has its key looked up first.
-            (busy, CallerRequest::Quick(it)) => {
-                return self.on_quick(now, token, team, it, busy.err());
+            // A request with a key has it looked up before it is refused.
+            (limit_check, CallerRequest::Quick(it)) => {
+                return self.on_quick(now, token, team, it, limit_check.err());
             }
             (Err(refusal), _) => return self.answer(token, CallerAnswer::Refused(refusal)),
             (Ok(()), it) => it,
@@ -372,7 +376,7 @@
                 Operation::Propose(Command::Publish(PublishCommand { team, key, subject, body }))
             }
         };
-        self.operations += 1;
+        self.open_operations += 1;
         let deadline_ms = now.mono_ms + u64::from(self.options.settings.operation_max_ms);
         self.client.call(now, operation, deadline_ms, ControlToken::Caller(token));
     }
@@ -380,7 +384,7 @@
     fn on_control(&mut self, now: Now, token: ControlToken, outcome: ReplyResult) {
         match token {
             ControlToken::Caller(token) => {
-                self.operations -= 1;
+                self.open_operations -= 1;
                 self.answer(token, caller_answer(outcome));
             }
             ControlToken::Poll(token) => self.on_poll_reply(now, token, outcome),
@@ -391,12 +395,12 @@
 }
 
 fn class_queue<'a>(
-    lines: &'a mut BTreeMap<CompactString, ClassQueue>,
+    class_queues: &'a mut BTreeMap<CompactString, ClassQueue>,
     class: &str,
 ) -> &'a mut ClassQueue {
-    lines.entry(class.into()).or_insert_with(|| ClassQueue {
+    class_queues.entry(class.into()).or_insert_with(|| ClassQueue {
         queue: FairQueue::new(),
-        answers: Histogram::new_with_bounds(1, 600_000, 2)
+        answer_times: Histogram::new_with_bounds(1, 600_000, 2)
             .expect("the bounds are constant and valid"),
     })
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,8 +1,8 @@
-//! The entry role: the callers' edge.
+//! The entry role: accepts the requests of callers.
 //!
-//! [`EntryCore`] admits, routes and retries quick requests, and passes the rest on to control.
-//! It keeps nothing that must survive; it is given requests, messages, time and randomness, and
-//! gives back [`Effect`]s.
+//! [`EntryCore`] admits, routes and retries quick requests, and forwards all others to control.
+//! It holds no durable state and does no I/O: requests, messages, time and a random seed come in,
+//! [`Effect`]s come out.
 
 mod core;
 mod endpoints;
--- a/src/entry/pending_request.rs
+++ b/src/entry/pending_request.rs
@@ -1,4 +1,4 @@
-//! Quick requests on their way.
+//! Quick requests that an entry has admitted and not yet finished.
 
 use std::sync::Arc;
 
@@ -8,11 +8,11 @@
 };
 
 slotmap::new_key_type! {
-    /// A small copyable key of a quick request in this entry.
+    /// Key of a quick request in this entry's slot map.
     pub(super) struct PendingRequestKey;
 }
 
-/// One attempt sent and not answered.
+/// An attempt that was sent and has no final reply yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub number: u32,
@@ -21,27 +21,27 @@
     pub sent_ms: u64,
 }
 
-/// Where a quick request stands.
+/// Processing stage of a quick request.
 #[derive(Clone, Debug)]
 pub(super) enum Stage {
-    /// It waits for a free endpoint.
+    /// Waits for an endpoint with a free slot.
     Waiting,
-    /// Its key is being claimed for this endpoint; nothing is sent before.
+    /// The idempotency key is being claimed for this endpoint. The request is sent after that.
     Claiming { endpoint: EndpointKey },
-    /// Another request holds the claim of its key; its outcome is looked up from time to time.
+    /// Another request holds the claim on the key; control is queried for its outcome regularly.
     Following { next_lookup_ms: u64, query_sent_ms: Option<u64> },
-    /// It cannot be served; its key is looked up before that is said.
+    /// The request cannot be served. Its key is looked up before the refusal is sent.
     Checking { refusal: Refusal },
-    /// One or more attempts are under way.
+    /// One or more attempts have been sent.
     InFlight {
-        /// When another attempt is made, or the agent is asked what became of this one.
+        /// When another attempt is sent, or the agent is queried for the outcome of this one.
         next_action_ms: u64,
     },
 }
 
-/// One quick request.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
+    /// Token of the caller; `None` once the caller has been answered.
     pub token: Option<u64>,
     pub request: RequestId,
     pub team: CompactString,
@@ -52,13 +52,13 @@
     pub stage: Stage,
     pub attempts: Vec<Attempt>,
     pub attempts_made: u32,
-    /// Attempt of the claim that this request holds.
+    /// Latest attempt number of the key's claim known to this request; 0 if none.
     pub claim_attempt: u32,
     pub tried_endpoints: Vec<EndpointId>,
-    /// Whether an attempt may have run without an answer.
+    /// Whether an unanswered attempt may have run.
     pub may_have_run: bool,
     pub last_refusal: Option<ErrorKind>,
-    /// An error that an endpoint answered with, passed on if no other attempt does better.
+    /// Error answer of an endpoint, forwarded to the caller if no other attempt succeeds.
     pub error_answer: Option<Answer>,
 }
 
@@ -67,7 +67,7 @@
         self.caller_request.idempotent
     }
 
-    pub(super) fn left_ms(&self, now: Now) -> u64 {
+    pub(super) fn remaining_ms(&self, now: Now) -> u64 {
         self.deadline_ms.saturating_sub(now.mono_ms)
     }
 
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -1,23 +1,22 @@
-//! What callers ask of an entry, and what it answers.
+//! Requests of callers and their answers; inputs and effects of an entry.
 
 use std::net::SocketAddr;
 
 use crate::prelude::*;
 
-/// A quick request as a caller made it.
+/// A quick request as received from a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuickRequest {
     pub class: CompactString,
     pub path: CompactString,
     pub deadline_ms: u32,
-    /// Whether running it twice does no harm.
+    /// Whether it may safely run more than once.
     pub idempotent: bool,
-    /// The caller's idempotency key; needed where running it twice would do harm.
+    /// The caller's idempotency key; required if the request is not idempotent.
     pub key: Option<CompactString>,
     pub body: Vec<u8>,
 }
 
-/// A request of a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerRequest {
     Quick(QuickRequest),
@@ -26,7 +25,7 @@
         spec: JobSpec,
     },
     Job(JobId),
-    /// The result of a job, waited for as long as it has tasks left.
+    /// The result of a job; held until the job finishes or `wait_ms` has passed.
     JobResult {
         job: JobId,
         wait_ms: u32,
@@ -36,7 +35,7 @@
         key: CompactString,
         subject: CompactString,
     },
-    /// The events after a cursor, waited for while there are none.
+    /// The events after a cursor; held until there is one or `wait_ms` has passed.
     PollWatch {
         watch: WatchId,
         cursor: u64,
@@ -50,17 +49,16 @@
     },
 }
 
-/// An answer to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerAnswer {
-    /// The endpoint's whole answer.
+    /// The endpoint's complete answer.
     Quick {
         status: u16,
         content_type: CompactString,
         body: Vec<u8>,
         attempts: u32,
     },
-    /// The answer was given to an earlier request with this key, and its body is not kept.
+    /// An earlier request with this key was answered, and the answer's body was not stored.
     AlreadyAnswered {
         status: u16,
     },
@@ -68,7 +66,7 @@
     Refused(Refusal),
 }
 
-/// What an entry is told.
+/// Input of an entry.
 #[derive(Clone, Debug)]
 pub enum Input {
     Message {
@@ -81,16 +79,16 @@
         team: CompactString,
         request: CallerRequest,
     },
-    /// The link to a process broke: what was sent there may be lost.
+    /// The connection to a process broke; messages sent there may be lost.
     LinkLost {
         peer: SocketAddr,
     },
     Tick,
-    /// A planned stop: nothing new is taken, what is in flight ends.
+    /// A planned stop: new requests are refused, open ones are finished.
     Stop,
 }
 
-/// What an entry wants done.
+/// Action for the I/O layer of an entry.
 #[derive(Clone, Debug)]
 pub enum Effect {
     Send { to: SocketAddr, message: Message },
