--- a/src/agent/core/lease.rs
+++ b/src/agent/core/lease.rs
@@ -1,8 +1,8 @@
-//! The VM's lease, and the tasks that run under it.
+//! The lease of the VM's session, and the tasks that run under it.
 
 use crate::{
     agent::{
-        core::{AgentCore, Effect, Lease, OPEN_MAX_MS, SILENT_HEARTBEATS},
+        core::{AgentCore, Effect, Lease, OPEN_SESSION_TIMEOUT_MS, UNANSWERED_HEARTBEATS_MAX},
         tasks::{StartRejection, WorkerCall, WorkerResult},
     },
     control::state::ReplyResult,
@@ -11,62 +11,67 @@
 
 impl AgentCore {
     pub(super) fn open_session(&mut self, now: Now) {
-        self.opening = true;
-        self.openings += 1;
+        self.is_opening = true;
+        self.open_attempts += 1;
         let settings = &self.options.settings;
         let command = OpenSessionCommand {
             vm_name: settings.vm.clone(),
-            // Each opening is a new one: a session that ended is never taken up again.
-            boot: self.options.boot.wrapping_add(self.openings),
+            // Each attempt has its own boot number, as an ended session must never be resumed.
+            boot: self.options.boot.wrapping_add(self.open_attempts),
             zone: self.options.zone.clone(),
             rack: self.options.rack.clone(),
             address: self.options.address,
             capacity: self.capacity(),
         };
         let operation = Operation::Propose(Command::OpenSession(command));
-        self.client.call(now, operation, now.mono_ms + OPEN_MAX_MS, ());
+        self.client.call(now, operation, now.mono_ms + OPEN_SESSION_TIMEOUT_MS, ());
     }
 
     pub(super) fn on_opened(&mut self, now: Now, outcome: ReplyResult) {
-        self.opening = false;
+        self.is_opening = false;
         match outcome {
-            Ok(Reply::SessionOpened(it)) => {
-                tracing::info!(event = "session_opened", session = it.session.0, vm = it.vm.0);
-                self.own_sessions.insert(it.session);
-                // There is no lease yet: the first heartbeat asks for it.
+            Ok(Reply::SessionOpened(opened)) => {
+                tracing::info!(
+                    event = "session_opened",
+                    session = opened.session.0,
+                    vm = opened.vm.0
+                );
+                self.own_sessions.insert(opened.session);
+                // The session has no lease yet; the first heartbeat requests one.
                 self.lease = Some(Lease {
-                    session: it.session,
+                    session: opened.session,
                     until_ms: 0,
                     reconciled: false,
                     answered_heartbeat: 0,
                 });
-                self.heartbeat_at_ms = now.mono_ms;
+                self.next_heartbeat_ms = now.mono_ms;
             }
             Ok(_) => (),
-            Err(it) => {
-                tracing::warn!(event = "session_refused", kind = %it.kind, detail = %it.detail);
-                let pause_ms = it.retry_after_ms.max(self.options.settings.heartbeat_ms.into());
-                self.open_at_ms = now.mono_ms + pause_ms;
+            Err(refusal) => {
+                tracing::warn!(event = "session_refused", kind = %refusal.kind, detail = %refusal.detail);
+                let pause_ms =
+                    refusal.retry_after_ms.max(self.options.settings.heartbeat_ms.into());
+                self.next_open_ms = now.mono_ms + pause_ms;
             }
         }
     }
 
     pub(super) fn heartbeat(&mut self, now: Now) {
         let interval_ms = u64::from(self.options.settings.heartbeat_ms);
-        self.heartbeat_at_ms = now.mono_ms + interval_ms;
+        self.next_heartbeat_ms = now.mono_ms + interval_ms;
         let Some(lease) = self.lease else { return };
-        if lease.answered_heartbeat + SILENT_HEARTBEATS < self.heartbeat_number {
+        if lease.answered_heartbeat + UNANSWERED_HEARTBEATS_MAX < self.heartbeat_number {
             self.client.try_next();
         }
         let Some(to) = self.client.target() else { return };
         self.heartbeat_number += 1;
-        let draining = self.draining;
+        let draining = self.is_draining;
         let endpoints = self.endpoints.iter_mut().map(|it| EndpointReport {
             number: it.number,
             class: it.announcement.class.clone(),
             slots: it.announcement.slots.min(it.announcement.connections),
             leaving: it.leaving || draining,
-            answer_p99_ms: it.take_tail_ms(),
+            answer_p99_ms: it.take_p99_ms(),
         });
         let heartbeat = AgentHeartbeat {
             session: lease.session,
@@ -87,56 +92,57 @@
         self.send(to, Message::AgentHeartbeat(heartbeat));
     }
 
-    pub(super) fn on_heartbeat_reply(&mut self, now: Now, it: AgentHeartbeatReply) {
-        let Some(lease) = self.lease.as_mut().filter(|lease| lease.session == it.session) else {
+    pub(super) fn on_heartbeat_reply(&mut self, now: Now, reply: AgentHeartbeatReply) {
+        let Some(lease) = self.lease.as_mut().filter(|it| it.session == reply.session) else {
             return;
         };
-        lease.answered_heartbeat = lease.answered_heartbeat.max(it.number);
-        if it.verdict == SessionVerdict::Ended {
-            tracing::warn!(event = "session_ended", session = it.session.0);
+        lease.answered_heartbeat = lease.answered_heartbeat.max(reply.number);
+        if reply.verdict == SessionVerdict::Ended {
+            tracing::warn!(event = "session_ended", session = reply.session.0);
             self.stop_tasks();
             self.lease = None;
             return;
         }
-        if let Some(news) = it.configuration.clone() {
-            self.configuration.adopt(news);
+        if let Some(configuration) = reply.configuration.clone() {
+            self.configuration.adopt(configuration);
         }
-        // Counted from when the renewal was asked for: control counts from later.
-        let until_ms = (it.sent_ms + u64::from(it.lease_ms)).max(lease.until_ms);
+        // Counted from when the renewal request was sent. Control counts from a later time, so the
+        // lease expires here first.
+        let until_ms = (reply.sent_ms + u64::from(reply.lease_ms)).max(lease.until_ms);
         if lease.until_ms < until_ms {
             lease.until_ms = until_ms;
-            let call = WorkerCall::Lease { session: it.session, until_boottime_ms: until_ms };
+            let call = WorkerCall::Lease { session: reply.session, until_boottime_ms: until_ms };
             self.effects.push(Effect::Worker(call));
         }
-        self.on_orders(now, it);
+        self.on_orders(now, reply);
     }
 
-    pub(super) fn on_orders(&mut self, now: Now, it: AgentHeartbeatReply) {
+    pub(super) fn on_orders(&mut self, now: Now, reply: AgentHeartbeatReply) {
         let Some(lease) = self.lease else { return };
-        let overtaken = it.number < lease.answered_heartbeat;
-        if lease.session != it.session || overtaken || lease.until_ms <= now.mono_ms {
-            self.metrics.orders_ignored.inc_by(it.orders.len() as u64);
+        let is_outdated = reply.number < lease.answered_heartbeat;
+        if lease.session != reply.session || is_outdated || lease.until_ms <= now.mono_ms {
+            self.metrics.orders_ignored.inc_by(reply.orders.len() as u64);
             return;
         }
-        for order in it.orders {
-            self.follow_order(lease, order);
+        for order in reply.orders {
+            self.apply_order(lease, order);
         }
     }
 
-    pub(super) fn follow_order(&mut self, lease: Lease, order: TaskOrder) {
+    pub(super) fn apply_order(&mut self, lease: Lease, order: TaskOrder) {
         let TaskOrder { task, incarnation, action } = order;
         let session = lease.session;
         let call = match action {
             TaskAction::Start(start) => {
                 let capacity = self.capacity();
-                let started = match lease.reconciled {
+                let result = match lease.reconciled {
                     true => self.tasks.try_start(task, incarnation, &start, capacity),
                     false => Err(StartRejection::OlderRuns),
                 };
-                if let Err(why) = started {
-                    if why != StartRejection::AlreadyKnown {
+                if let Err(rejection) = result {
+                    if rejection != StartRejection::AlreadyKnown {
                         self.metrics.orders_ignored.inc();
-                        tracing::warn!(event = "start_not_followed", task = task.0, incarnation, why = ?why);
+                        tracing::warn!(event = "start_not_followed", task = task.0, incarnation, why = ?rejection);
                     }
                     return;
                 }
@@ -163,8 +169,8 @@
         self.lease.filter(|it| now.mono_ms < it.until_ms).map(|it| it.session)
     }
 
-    /// Stops all tasks once the lease has run out: from now on control may place them elsewhere.
-    pub(super) fn handle_lease_end(&mut self, now: Now) {
+    /// Stops all tasks once the lease has expired, as control may then place them on other VMs.
+    pub(super) fn handle_lease_expiry(&mut self, now: Now) {
         let Some(lease) = &mut self.lease else { return };
         if lease.until_ms == 0 || now.mono_ms < lease.until_ms {
             return;
@@ -181,8 +187,9 @@
 
     pub(super) fn stop_tasks(&mut self) {
         let Some(session) = self.lease.map(|it| it.session) else { return };
-        let ids: Vec<_> = self.tasks.running().map(|it| (it.task, it.incarnation)).collect();
-        for (task, incarnation) in ids {
+        let task_incarnations: Vec<_> =
+            self.tasks.running().map(|it| (it.task, it.incarnation)).collect();
+        for (task, incarnation) in task_incarnations {
             self.effects.push(Effect::Worker(WorkerCall::Stop { session, task, incarnation }));
         }
     }
@@ -190,27 +197,28 @@
     pub(super) fn on_worker(&mut self, now: Now, call: WorkerCall, result: WorkerResult) {
         match (call, result) {
             (WorkerCall::List, WorkerResult::Report(report)) => {
-                self.listing = false;
+                self.is_listing = false;
                 if let Some(lease) = &mut self.lease
                     && lease.session == report.session
                     && !lease.reconciled
                 {
-                    // The worker refuses older sessions now, so its list is complete.
+                    // The worker now refuses calls of older sessions, so no task of these can start
+                    // after this list.
                     lease.reconciled = true;
-                    self.heartbeat_at_ms = now.mono_ms;
+                    self.next_heartbeat_ms = now.mono_ms;
                 }
                 if self.tasks.note_report(report) {
-                    self.heartbeat_at_ms = now.mono_ms;
+                    self.next_heartbeat_ms = now.mono_ms;
                 }
             }
-            (WorkerCall::List, _) => self.listing = false,
-            (WorkerCall::Lease { .. }, _) => self.list_at_ms = now.mono_ms,
+            (WorkerCall::List, _) => self.is_listing = false,
+            (WorkerCall::Lease { .. }, _) => self.next_list_ms = now.mono_ms,
             (WorkerCall::Start { task, incarnation, .. }, result) => {
-                self.tasks.note_start(task, incarnation, &result);
-                self.heartbeat_at_ms = now.mono_ms;
+                self.tasks.note_start_result(task, incarnation, &result);
+                self.next_heartbeat_ms = now.mono_ms;
             }
             (WorkerCall::Stop { .. } | WorkerCall::Checkpoint { .. }, _) => {
-                self.list_at_ms = now.mono_ms
+                self.next_list_ms = now.mono_ms
             }
             (WorkerCall::Throttle { .. } | WorkerCall::Forget { .. }, _) => (),
         }
--- a/src/agent/core/mod.rs
+++ b/src/agent/core/mod.rs
@@ -1,4 +1,4 @@
-//! One agent, without its I/O.
+//! The state machine of the agent role, without I/O.
 
 mod lease;
 mod requests;
@@ -22,16 +22,17 @@
     schema::settings::AgentSettings,
 };
 
-/// Heartbeats without an answer before another control process is tried.
-const SILENT_HEARTBEATS: u64 = 3;
+/// Consecutive unanswered heartbeats that the agent tolerates before it tries the next control
+/// process.
+const UNANSWERED_HEARTBEATS_MAX: u64 = 3;
 
-/// Reports that a worker is asked for in one heartbeat interval.
+/// Task list calls to the worker per heartbeat interval.
 const LISTS_PER_HEARTBEAT: u64 = 4;
 
-/// Longest time that an opening of a session is waited for before it is asked for anew.
-const OPEN_MAX_MS: u64 = 10_000;
+/// Timeout of one attempt to open a session.
+const OPEN_SESSION_TIMEOUT_MS: u64 = 10_000;
 
-/// What one agent is told by its settings.
+/// Settings and identity of one agent.
 #[derive(Clone, Debug)]
 pub struct AgentOptions {
     pub address: SocketAddr,
@@ -43,7 +44,6 @@
     pub boot: u64,
 }
 
-/// What an agent is told.
 #[derive(Clone, Debug)]
 pub enum Input {
     Message {
@@ -59,22 +59,22 @@
         execution: ExecutionId,
         result: ExecutorResult,
     },
-    /// An endpoint announced itself, or said again that it is alive.
+    /// An endpoint announced itself, or renewed its announcement.
     Announce {
         token: u64,
         announcement: Announcement,
     },
-    /// An endpoint takes no new work.
+    /// An endpoint is leaving and accepts no new requests.
     Leave {
         token: u64,
         address: SocketAddr,
     },
     Tick,
-    /// A planned stop: nothing new is taken, what is in flight ends.
+    /// Planned stop: new requests are refused, running ones finish.
     Stop,
 }
 
-/// What an agent wants done.
+/// Action that the agent asks its runtime to perform.
 #[derive(Clone, Debug)]
 pub enum Effect {
     Send { to: SocketAddr, message: Message },
@@ -87,54 +87,55 @@
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     session: SessionId,
-    /// By this VM's clock, counted from before the renewal was asked for.
+    /// Expiry by this VM's clock, counted from before the renewal request was sent; 0 without a
+    /// valid lease.
     until_ms: u64,
-    /// Whether the worker knows of the session and has reported since.
+    /// Whether the worker has reported its tasks under this session.
     reconciled: bool,
-    /// Number of the newest heartbeat answered.
+    /// Highest number of an answered heartbeat.
     answered_heartbeat: u64,
 }
 
-/// One running request.
+/// A request that is running on an endpoint.
 #[derive(Clone, Debug)]
 struct Execution {
     attempt: AttemptId,
     endpoint: EndpointId,
     reply_to: SocketAddr,
     idempotent: bool,
-    begun_ms: u64,
+    started_ms: u64,
 }
 
-/// One agent.
+/// The agent of one VM.
 pub struct AgentCore {
     options: AgentOptions,
     metrics: Arc<Metrics>,
     client: ControlClient<()>,
     configuration: AdoptedConfiguration,
     lease: Option<Lease>,
-    /// Sessions of this process: its endpoints were known under each of them.
+    /// All sessions of this process; entries may address its endpoints under any of them.
     own_sessions: BTreeSet<SessionId>,
-    opening: bool,
-    /// When a session is asked for again after a refusal.
-    open_at_ms: u64,
-    openings: u64,
+    is_opening: bool,
+    /// Earliest time of the next attempt to open a session, set after a refusal.
+    next_open_ms: u64,
+    open_attempts: u64,
     heartbeat_number: u64,
-    heartbeat_at_ms: u64,
-    list_at_ms: u64,
-    listing: bool,
+    next_heartbeat_ms: u64,
+    next_list_ms: u64,
+    is_listing: bool,
     tasks: Tasks,
     endpoints: Endpoints,
     executions: BTreeMap<ExecutionId, Execution>,
     next_execution: u64,
     seen_attempts: SeenAttempts,
-    /// Entries that sent requests, with the time of the last.
+    /// Entries that sent requests, each with the time of its last request.
     entries: BTreeMap<SocketAddr, u64>,
-    draining: bool,
+    is_draining: bool,
     effects: Vec<Effect>,
 }
 
 impl AgentCore {
-    /// Makes an agent without a session.
+    /// Creates an agent without a session.
     pub fn new(options: AgentOptions, metrics: Arc<Metrics>) -> AgentCore {
         let settings = &options.settings;
         AgentCore {
@@ -149,31 +150,31 @@
             configuration: AdoptedConfiguration::new(),
             lease: None,
             own_sessions: BTreeSet::new(),
-            opening: false,
-            open_at_ms: 0,
-            openings: 0,
+            is_opening: false,
+            next_open_ms: 0,
+            open_attempts: 0,
             heartbeat_number: 0,
-            heartbeat_at_ms: 0,
-            list_at_ms: 0,
-            listing: false,
+            next_heartbeat_ms: 0,
+            next_list_ms: 0,
+            is_listing: false,
             tasks: Tasks::default(),
             endpoints: Endpoints::default(),
             executions: BTreeMap::new(),
             next_execution: 0,
             entries: BTreeMap::new(),
-            draining: false,
+            is_draining: false,
             effects: Vec::new(),
         }
     }
 
-    /// Returns the configuration revision in force here.
+    /// Returns the revision of the configuration in force.
     pub fn in_force(&self) -> Revision {
         self.configuration.revision()
     }
 
-    /// Returns whether a planned stop has nothing left to wait for.
+    /// Returns whether a planned stop is complete, with no request running or waiting.
     pub fn is_drained(&self) -> bool {
-        self.draining && self.endpoints.busy() == 0
+        self.is_draining && self.endpoints.open_request_count() == 0
     }
 
     /// Returns whether the agent holds a lease at `now`.
@@ -185,7 +186,7 @@
     pub fn next_tick_ms(&self) -> u64 {
         let lease_ms = self.lease.map_or(u64::MAX, |it| it.until_ms);
         let client_ms = self.client.next_tick_ms().unwrap_or(u64::MAX);
-        self.heartbeat_at_ms.min(self.list_at_ms).min(lease_ms).min(client_ms)
+        self.next_heartbeat_ms.min(self.next_list_ms).min(lease_ms).min(client_ms)
     }
 
     /// Takes the effects of the inputs so far.
@@ -200,10 +201,9 @@
         res
     }
 
-    /// Takes in one input.
     pub fn handle(&mut self, now: Now, input: Input) {
-        // Whatever arrives first after a pause of this process, the lease is looked at before it.
-        self.handle_lease_end(now);
+        // Check the lease first: it may have expired while this process was paused.
+        self.handle_lease_expiry(now);
         match input {
             Input::Message { from, in_force, message } => {
                 if let Some(config_fetch) =
@@ -231,23 +231,24 @@
         for (_, outcome) in self.client.tick(now) {
             self.on_opened(now, outcome);
         }
-        if self.lease.is_none() && !self.opening && self.open_at_ms <= now.mono_ms {
+        if self.lease.is_none() && !self.is_opening && self.next_open_ms <= now.mono_ms {
             self.open_session(now);
         }
-        if self.heartbeat_at_ms <= now.mono_ms {
+        if self.next_heartbeat_ms <= now.mono_ms {
             self.heartbeat(now);
         }
-        if self.list_at_ms <= now.mono_ms {
-            self.list_at_ms =
+        if self.next_list_ms <= now.mono_ms {
+            self.next_list_ms =
                 now.mono_ms + u64::from(self.options.settings.heartbeat_ms) / LISTS_PER_HEARTBEAT;
-            self.list_worker(now);
+            self.run_maintenance(now);
         }
     }
 
-    /// Does what a worker and endpoints need regularly.
-    fn list_worker(&mut self, now: Now) {
-        if !self.listing {
-            self.listing = true;
+    /// Lists the worker's tasks, resends unanswered starts and expires attempts, requests and
+    /// endpoints.
+    fn run_maintenance(&mut self, now: Now) {
+        if !self.is_listing {
+            self.is_listing = true;
             self.effects.push(Effect::Worker(WorkerCall::List));
         }
         if let Some(session) = self.valid_session(now) {
@@ -261,27 +262,27 @@
             }
         }
         self.seen_attempts.expire(now);
-        self.drop_late(now);
-        let silence_ms = u64::from(self.options.settings.announce_max_ms);
+        self.refuse_expired(now);
+        let announce_timeout_ms = u64::from(self.options.settings.announce_max_ms);
         let silent = self
             .endpoints
             .iter()
-            .filter(|it| !it.leaving && it.announced_ms + silence_ms < now.mono_ms);
+            .filter(|it| !it.leaving && it.announced_ms + announce_timeout_ms < now.mono_ms);
         let silent: Vec<_> = silent.map(|it| it.number).collect();
         for number in silent {
             tracing::warn!(event = "endpoint_silent", number);
             self.begin_leaving(now, number);
         }
-        self.endpoints.remove_idle_leavers();
-        self.entries.retain(|_, at_ms| now.mono_ms < *at_ms + 60_000);
+        self.endpoints.remove_drained();
+        self.entries.retain(|_, last_request_ms| now.mono_ms < *last_request_ms + 60_000);
     }
 
     fn capacity(&self) -> Resources {
-        let it = &self.options.settings;
+        let settings = &self.options.settings;
         Resources {
-            cpu_millicores: it.cpu_millicores,
-            memory_mib: it.memory_mib,
-            accelerators: it.accelerators,
+            cpu_millicores: settings.cpu_millicores,
+            memory_mib: settings.memory_mib,
+            accelerators: settings.accelerators,
         }
     }
 
@@ -296,9 +297,9 @@
             }
             Message::NotLeader(hint) => {
                 self.client.set_leader(hint);
-                // Soon, but not at once: while a leader is elected nobody has a better answer.
-                let soon_ms = u64::from(self.options.settings.heartbeat_ms) / 5;
-                self.heartbeat_at_ms = self.heartbeat_at_ms.min(now.mono_ms + soon_ms);
+                // Not at once: until an election ends, every control process answers like this.
+                let retry_delay_ms = u64::from(self.options.settings.heartbeat_ms) / 5;
+                self.next_heartbeat_ms = self.next_heartbeat_ms.min(now.mono_ms + retry_delay_ms);
             }
             Message::Execute(it) => self.on_execute(now, it),
             Message::OutcomeQuery(it) => self.on_outcome_query(now, &it),
@@ -311,34 +312,34 @@
         }
     }
 
-    fn on_announce(&mut self, now: Now, token: u64, it: Announcement) {
-        let outcome = if self.draining {
+    fn on_announce(&mut self, now: Now, token: u64, announcement: Announcement) {
+        let outcome = if self.is_draining {
             Err(refusal_with_retry_after(ErrorKind::Draining, "this VM's agent is stopping", 1_000))
-        } else if it.slots == 0 || it.connections == 0 {
+        } else if announcement.slots == 0 || announcement.connections == 0 {
             Err(refusal(ErrorKind::BadRequest, "slots and connections must be above 0"))
         } else {
-            let address = it.address;
-            let is_new = self.endpoints.at(address).is_none();
-            let number = self.endpoints.announce(it, now);
+            let address = announcement.address;
+            let is_new = self.endpoints.number_at(address).is_none();
+            let number = self.endpoints.announce(announcement, now);
             if is_new {
                 tracing::info!(event = "endpoint_announced", number, %address);
-                self.heartbeat_at_ms = now.mono_ms;
+                self.next_heartbeat_ms = now.mono_ms;
             }
             let document = format_compact!(
                 "{{\"endpoint\":{number},\"again_within_ms\":{}}}",
-                self.announce_again_ms()
+                self.announce_interval_ms()
             );
             Ok(Reply::Document(document))
         };
         self.effects.push(Effect::Answer { token, outcome });
     }
 
-    fn announce_again_ms(&self) -> u32 {
+    fn announce_interval_ms(&self) -> u32 {
         self.options.settings.announce_max_ms / 3
     }
 
     fn on_leave(&mut self, now: Now, token: u64, address: SocketAddr) {
-        let outcome = match self.endpoints.at(address) {
+        let outcome = match self.endpoints.number_at(address) {
             Some(number) => {
                 self.begin_leaving(now, number);
                 Ok(Reply::Done)
@@ -351,15 +352,15 @@
         self.effects.push(Effect::Answer { token, outcome });
     }
 
-    /// Takes an endpoint out: refused here at once, told to the entries that use it, and to
-    /// control, which tells the others.
+    /// Refuses an endpoint's queued and new requests, notifies the entries that use this agent, and
+    /// reports to control, which notifies the others.
     fn begin_leaving(&mut self, now: Now, number: u32) {
         let Some(endpoint) = self.endpoints.get_mut(number) else { return };
         endpoint.leaving = true;
         let queued: Vec<_> = endpoint.queue.drain(..).collect();
         tracing::info!(event = "endpoint_leaving", number, refused = queued.len());
-        for it in queued {
-            self.refuse(now, &it.request, ErrorKind::EndpointLeaving);
+        for queued_request in queued {
+            self.refuse(now, &queued_request.request, ErrorKind::EndpointLeaving);
         }
         let sessions: Vec<_> = self.own_sessions.iter().copied().collect();
         let entries: Vec<_> = self.entries.keys().copied().collect();
@@ -369,14 +370,14 @@
                 self.send(to, Message::EndpointLeaving(EndpointLeaving { endpoint }));
             }
         }
-        self.heartbeat_at_ms = now.mono_ms;
+        self.next_heartbeat_ms = now.mono_ms;
     }
 
     fn drain(&mut self, now: Now) {
-        if self.draining {
+        if self.is_draining {
             return;
         }
-        self.draining = true;
+        self.is_draining = true;
         let numbers: Vec<_> = self.endpoints.iter().map(|it| it.number).collect();
         for number in numbers {
             self.begin_leaving(now, number);
--- a/src/agent/core/requests.rs
+++ b/src/agent/core/requests.rs
@@ -1,4 +1,4 @@
-//! Quick requests: queued, run within slots and connections, answered once.
+//! Latency-critical requests: queued, run within slots and connections, answered once.
 
 use std::net::SocketAddr;
 
@@ -12,59 +12,61 @@
     util::checksum,
 };
 
-/// Largest answer kept for a resend.
-const KEPT_ANSWER_BYTES: usize = 64 * 1024;
+/// Largest answer body that is kept for resends.
+const KEPT_ANSWER_MAX_BYTES: usize = 64 * 1024;
 
 impl AgentCore {
-    pub(super) fn on_execute(&mut self, now: Now, it: Execute) {
-        self.entries.insert(it.reply_to, now.mono_ms);
-        let attempt = (it.request, it.attempt);
+    pub(super) fn on_execute(&mut self, now: Now, execute: Execute) {
+        self.entries.insert(execute.reply_to, now.mono_ms);
+        let attempt = (execute.request, execute.attempt);
         match self.seen_attempts.get(attempt) {
-            // Sent twice by the link or by a resend: the first one's outcome is the outcome.
+            // A copy from the link or a resend: the outcome of the first message counts.
             Some(AttemptOutcome::Running) => return,
             Some(AttemptOutcome::Ended(outcome)) => {
                 let outcome = outcome.clone();
-                return self.reply(it.reply_to, attempt, it.endpoint, outcome);
+                return self.reply(execute.reply_to, attempt, execute.endpoint, outcome);
             }
             None => (),
         }
-        if let Err(kind) = self.check_execute(&it) {
-            return self.refuse(now, &it, kind);
+        if let Err(kind) = self.check_execute(&execute) {
+            return self.refuse(now, &execute, kind);
         }
         self.seen_attempts.begin(attempt);
-        let deadline_ms = now.mono_ms + u64::from(it.deadline_ms);
-        let number = it.endpoint.number;
-        let executions = self.executions.len();
+        let deadline_ms = now.mono_ms + u64::from(execute.deadline_ms);
+        let number = execute.endpoint.number;
+        let execution_count = self.executions.len();
         let threads = self.options.settings.threads as usize;
         let Some(endpoint) = self.endpoints.get_mut(number) else { return };
-        endpoint.queue.push_back(QueuedRequest { request: it, deadline_ms });
-        if endpoint.has_slot() && executions < threads {
+        endpoint.queue.push_back(QueuedRequest { request: execute, deadline_ms });
+        if endpoint.has_slot() && execution_count < threads {
             self.run_next(now, number);
         }
     }
 
-    pub(super) fn check_execute(&mut self, it: &Execute) -> Result<(), ErrorKind> {
+    pub(super) fn check_execute(&mut self, execute: &Execute) -> Result<(), ErrorKind> {
         let queue_max = self.options.settings.queue_max as usize;
-        let is_ours = self.own_sessions.contains(&it.endpoint.session);
-        let has_room = self.seen_attempts.has_capacity();
+        let is_own_session = self.own_sessions.contains(&execute.endpoint.session);
+        let has_capacity = self.seen_attempts.has_capacity();
         let threads = self.options.settings.threads as usize;
-        let busy = threads <= self.executions.len();
-        match self.endpoints.get_mut(it.endpoint.number) {
-            _ if self.draining => Err(ErrorKind::Draining),
-            _ if !is_ours => Err(ErrorKind::StaleSession),
+        let all_threads_busy = threads <= self.executions.len();
+        match self.endpoints.get_mut(execute.endpoint.number) {
+            _ if self.is_draining => Err(ErrorKind::Draining),
+            _ if !is_own_session => Err(ErrorKind::StaleSession),
             None => Err(ErrorKind::NoEndpoint),
             Some(endpoint) if endpoint.leaving => Err(ErrorKind::EndpointLeaving),
             Some(endpoint)
-                if (!endpoint.has_slot() || busy) && queue_max <= endpoint.queue.len() =>
+                if (!endpoint.has_slot() || all_threads_busy)
+                    && queue_max <= endpoint.queue.len() =>
             {
                 Err(ErrorKind::EndpointBusy)
             }
-            Some(_) if !has_room => Err(ErrorKind::TableFull),
+            Some(_) if !has_capacity => Err(ErrorKind::TableFull),
             Some(_) => Ok(()),
         }
     }
 
-    /// Runs the next queued requests of an endpoint as far as its slots allow.
+    /// Runs the next queued requests of an endpoint, as far as its slots and the agent's threads
+    /// allow.
     pub(super) fn run_next(&mut self, now: Now, number: u32) {
         loop {
             let threads = self.options.settings.threads as usize;
@@ -81,55 +83,57 @@
             let address = endpoint.announcement.address;
             self.next_execution += 1;
             let execution = ExecutionId(self.next_execution);
-            let it = queued.request;
+            let execute = queued.request;
             let record = Execution {
-                attempt: (it.request, it.attempt),
-                endpoint: it.endpoint,
-                reply_to: it.reply_to,
-                idempotent: it.idempotent,
-                begun_ms: now.mono_ms,
+                attempt: (execute.request, execute.attempt),
+                endpoint: execute.endpoint,
+                reply_to: execute.reply_to,
+                idempotent: execute.idempotent,
+                started_ms: now.mono_ms,
             };
             self.executions.insert(execution, record);
             self.effects.push(Effect::Call(ExecutorCall {
                 execution,
                 address,
-                request: it.request,
-                team: it.team,
-                path: it.path,
+                request: execute.request,
+                team: execute.team,
+                path: execute.path,
                 timeout_ms: queued.deadline_ms - now.mono_ms,
-                body: it.body,
+                body: execute.body,
             }));
         }
     }
 
     /// Refuses queued requests whose deadline has passed.
-    pub(super) fn drop_late(&mut self, now: Now) {
-        let mut late = Vec::new();
+    pub(super) fn refuse_expired(&mut self, now: Now) {
+        let mut expired = Vec::new();
         for endpoint in self.endpoints.iter_mut() {
-            let (old, kept) = endpoint
+            let (late, remaining) = endpoint
                 .queue
                 .drain(..)
                 .partition(|it: &QueuedRequest| it.deadline_ms <= now.mono_ms);
-            endpoint.queue = kept;
-            late.extend::<std::collections::VecDeque<_>>(old);
+            endpoint.queue = remaining;
+            expired.extend::<std::collections::VecDeque<_>>(late);
         }
-        for it in late {
-            self.refuse(now, &it.request, ErrorKind::DeadlineExpiredQueued);
+        for queued in expired {
+            self.refuse(now, &queued.request, ErrorKind::DeadlineExpiredQueued);
         }
     }
 
-    /// Refuses a request that was not handed to its endpoint, and never will be.
-    pub(super) fn refuse(&mut self, now: Now, it: &Execute, kind: ErrorKind) {
+    /// Refuses a request that was not and will not be sent to its endpoint.
+    pub(super) fn refuse(&mut self, now: Now, execute: &Execute, kind: ErrorKind) {
         self.metrics.count_refusal(kind);
-        let attempt = (it.request, it.attempt);
+        let attempt = (execute.request, execute.attempt);
         let outcome = ExecuteOutcome::Refused(kind);
-        // A second copy of the message must not run what this answer says did not.
+        // Recorded, so that a second copy of the message is not run after this refusal.
         match self.seen_attempts.has_capacity() || self.seen_attempts.get(attempt).is_some() {
-            true if it.idempotent => self.seen_attempts.end_briefly(attempt, outcome.clone(), now),
+            true if execute.idempotent => {
+                self.seen_attempts.end_idempotent(attempt, outcome.clone(), now)
+            }
             true => self.seen_attempts.end(attempt, outcome.clone(), now),
             false => (),
         }
-        self.reply(it.reply_to, attempt, it.endpoint, outcome);
+        self.reply(execute.reply_to, attempt, execute.endpoint, outcome);
     }
 
     pub(super) fn reply(
@@ -149,9 +153,9 @@
     }
 
     pub(super) fn on_executor(&mut self, now: Now, id: ExecutionId, result: ExecutorResult) {
-        let Some(it) = self.executions.remove(&id) else { return };
-        let answer_ms = now.mono_ms.saturating_sub(it.begun_ms);
-        if let Some(endpoint) = self.endpoints.get_mut(it.endpoint.number) {
+        let Some(execution) = self.executions.remove(&id) else { return };
+        let answer_ms = now.mono_ms.saturating_sub(execution.started_ms);
+        if let Some(endpoint) = self.endpoints.get_mut(execution.endpoint.number) {
             endpoint.in_use -= 1;
             endpoint.note_answer(answer_ms);
         }
@@ -165,22 +169,22 @@
                 })
             }
             ExecutorResult::NotSent(_) => ExecuteOutcome::Refused(ErrorKind::NoEndpoint),
-            ExecutorResult::Failed(why) => ExecuteOutcome::Failed(why),
+            ExecutorResult::Failed(reason) => ExecuteOutcome::Failed(reason),
         };
         if let ExecuteOutcome::Refused(kind) = outcome {
             self.metrics.count_refusal(kind);
         }
-        if it.idempotent {
-            // Not the answer, which would take memory for every request, but that there was one: a
-            // second copy of the message, refused by now, would say that it did not run.
+        if execution.idempotent {
+            // Only the fact of an answer is kept, as all answers would take too much memory.
+            // Without it, a second copy could be refused, which says that the request did not run.
             let answered = ExecuteOutcome::Failed("it was answered before".into());
-            self.seen_attempts.end_briefly(it.attempt, answered, now);
+            self.seen_attempts.end_idempotent(execution.attempt, answered, now);
         } else {
-            self.seen_attempts.end(it.attempt, kept(&outcome), now);
+            self.seen_attempts.end(execution.attempt, outcome_to_keep(&outcome), now);
         }
-        self.reply(it.reply_to, it.attempt, it.endpoint, outcome);
-        // A freed thread may serve any endpoint; the one that freed it goes first.
-        self.run_next(now, it.endpoint.number);
+        self.reply(execution.reply_to, execution.attempt, execution.endpoint, outcome);
+        // The freed thread may serve any endpoint; the endpoint that freed it has priority.
+        self.run_next(now, execution.endpoint.number);
         let waiting: Vec<_> =
             self.endpoints.iter().filter(|it| !it.queue.is_empty()).map(|it| it.number).collect();
         for number in waiting {
@@ -188,29 +192,32 @@
         }
     }
 
-    pub(super) fn on_outcome_query(&mut self, now: Now, it: &OutcomeQuery) {
-        let attempt = (it.request, it.attempt);
-        let is_ours = self.own_sessions.contains(&it.endpoint.session);
+    pub(super) fn on_outcome_query(&mut self, now: Now, query: &OutcomeQuery) {
+        let attempt = (query.request, query.attempt);
+        let is_own_session = self.own_sessions.contains(&query.endpoint.session);
         let outcome = match self.seen_attempts.get(attempt) {
             Some(AttemptOutcome::Running) => ExecuteOutcome::Running,
             Some(AttemptOutcome::Ended(outcome)) => outcome.clone(),
-            // An earlier run of this agent may have run it; nobody can know.
-            None if !is_ours => ExecuteOutcome::Failed("the agent restarted meanwhile".into()),
+            // An earlier process of this agent may have run the attempt; its outcome is lost.
+            None if !is_own_session => {
+                ExecuteOutcome::Failed("the agent restarted meanwhile".into())
+            }
             None if !self.seen_attempts.has_capacity() => ExecuteOutcome::Running,
             None => {
-                // From now on it never runs here, even if the message is still on its way.
+                // Recorded, so that the attempt never runs here, even if its message arrives later.
                 self.seen_attempts.end(attempt, ExecuteOutcome::NotSeen, now);
                 ExecuteOutcome::NotSeen
             }
         };
-        self.reply(it.reply_to, attempt, it.endpoint, outcome);
+        self.reply(query.reply_to, attempt, query.endpoint, outcome);
     }
 }
 
-/// Returns an outcome as it is kept for resends: very large answers are not.
-fn kept(outcome: &ExecuteOutcome) -> ExecuteOutcome {
+/// Returns the outcome to keep for resends; a failure replaces an answer above
+/// [`KEPT_ANSWER_MAX_BYTES`].
+fn outcome_to_keep(outcome: &ExecuteOutcome) -> ExecuteOutcome {
     match outcome {
-        ExecuteOutcome::Answered(it) if KEPT_ANSWER_BYTES < it.body.len() => {
+        ExecuteOutcome::Answered(it) if KEPT_ANSWER_MAX_BYTES < it.body.len() => {
             ExecuteOutcome::Failed("it ran, but its answer was too large to keep".into())
         }
         _ => outcome.clone(),
--- a/src/agent/endpoints.rs
+++ b/src/agent/endpoints.rs
@@ -9,26 +9,25 @@
 
 use crate::prelude::*;
 
-/// Longest answer time that the histogram tells apart, in ms.
-const ANSWER_MAX_MS: u64 = 600_000;
+/// Largest recorded answer time; longer ones count as this value.
+const ANSWER_TIME_MAX_MS: u64 = 600_000;
 
-/// What an endpoint says of itself.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
     pub class: CompactString,
     pub address: SocketAddr,
-    /// Requests that it works on at once.
+    /// Number of requests that the endpoint processes at once.
     pub slots: u32,
-    /// Connections that it accepts.
+    /// Number of connections that the endpoint accepts.
     pub connections: u32,
 }
 
-/// One request handed to an endpoint.
+/// Identifies one call to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ExecutionId(pub u64);
 
-/// A call of an endpoint, to be made by the HTTP adapter.
+/// A call to an endpoint, made by the HTTP adapter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExecutorCall {
     pub execution: ExecutionId,
@@ -40,7 +39,6 @@
     pub body: serde_bytes::ByteBuf,
 }
 
-/// How a call of an endpoint ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExecutorResult {
     Answered {
@@ -48,7 +46,7 @@
         content_type: CompactString,
         body: Vec<u8>,
     },
-    /// The connection was refused, so that nothing of the request was sent.
+    /// The connection was refused, so no part of the request was sent.
     NotSent(CompactString),
     Failed(CompactString),
 }
@@ -69,11 +67,11 @@
     pub leaving: bool,
     pub in_use: u32,
     pub queue: VecDeque<QueuedRequest>,
-    answers: Histogram<u32>,
+    answer_times_ms: Histogram<u32>,
 }
 
 impl Endpoint {
-    /// Returns whether another request may run now: slots and connections are hard limits.
+    /// Returns whether another request may run now; slots and connections are both hard limits.
     pub(super) fn has_slot(&self) -> bool {
         self.in_use < self.announcement.slots.min(self.announcement.connections)
     }
@@ -83,15 +81,18 @@
     }
 
     pub(super) fn note_answer(&mut self, answer_ms: u64) {
-        self.answers.saturating_record(answer_ms.clamp(1, ANSWER_MAX_MS));
+        self.answer_times_ms.saturating_record(answer_ms.clamp(1, ANSWER_TIME_MAX_MS));
     }
 
-    /// Returns the tail of the answers since the last report, and begins anew.
-    pub(super) fn take_tail_ms(&mut self) -> u32 {
-        let tail_ms =
-            if self.answers.is_empty() { 0 } else { self.answers.value_at_quantile(0.99) as u32 };
-        self.answers.reset();
-        tail_ms
+    /// Returns the 99th percentile of the answer times since the last call, or 0 without answers.
+    pub(super) fn take_p99_ms(&mut self) -> u32 {
+        let p99_ms = if self.answer_times_ms.is_empty() {
+            0
+        } else {
+            self.answer_times_ms.value_at_quantile(0.99) as u32
+        };
+        self.answer_times_ms.reset();
+        p99_ms
     }
 }
 
@@ -99,7 +100,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Endpoints {
     endpoints: BTreeMap<u32, Endpoint>,
-    next: u32,
+    last_number: u32,
 }
 
 impl Endpoints {
@@ -115,46 +116,45 @@
         self.endpoints.values_mut()
     }
 
-    /// Adds an endpoint, or notes that one known is alive; returns its number.
-    pub(super) fn announce(&mut self, it: Announcement, now: Now) -> u32 {
-        let known =
-            self.endpoints.values_mut().find(|known| known.announcement.address == it.address);
-        if let Some(known) = known {
-            // One that left and comes back under its address is a new endpoint of the same name.
-            known.leaving = false;
-            known.announced_ms = now.mono_ms;
-            known.announcement = it;
-            return known.number;
+    /// Adds an endpoint, or renews the one with the same address; returns its number.
+    pub(super) fn announce(&mut self, announcement: Announcement, now: Now) -> u32 {
+        let existing =
+            self.endpoints.values_mut().find(|it| it.announcement.address == announcement.address);
+        if let Some(existing) = existing {
+            // An endpoint that returns before it was removed is active again under its number.
+            existing.leaving = false;
+            existing.announced_ms = now.mono_ms;
+            existing.announcement = announcement;
+            return existing.number;
         }
-        self.next += 1;
-        let number = self.next;
-        let answers = Histogram::new_with_bounds(1, ANSWER_MAX_MS, 2)
+        self.last_number += 1;
+        let number = self.last_number;
+        let answer_times_ms = Histogram::new_with_bounds(1, ANSWER_TIME_MAX_MS, 2)
             .expect("the bounds are constant and valid");
         let endpoint = Endpoint {
-            announcement: it,
+            announcement,
             number,
             announced_ms: now.mono_ms,
             leaving: false,
             in_use: 0,
             queue: VecDeque::new(),
-            answers,
+            answer_times_ms,
         };
         self.endpoints.insert(number, endpoint);
         number
     }
 
-    /// Returns the number of the endpoint at an address.
-    pub(super) fn at(&self, address: SocketAddr) -> Option<u32> {
+    pub(super) fn number_at(&self, address: SocketAddr) -> Option<u32> {
         self.endpoints.values().find(|it| it.announcement.address == address).map(|it| it.number)
     }
 
-    /// Removes endpoints that left and have nothing in flight.
-    pub(super) fn remove_idle_leavers(&mut self) {
+    /// Removes leaving endpoints that have no request running or waiting.
+    pub(super) fn remove_drained(&mut self) {
         self.endpoints.retain(|_, it| !it.leaving || 0 < it.in_use || !it.queue.is_empty());
     }
 
-    /// Returns the requests running and waiting.
-    pub(super) fn busy(&self) -> usize {
+    /// Returns the number of requests that run or wait.
+    pub(super) fn open_request_count(&self) -> usize {
         self.endpoints.values().map(|it| it.in_use as usize + it.queue.len()).sum()
     }
 }
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,7 +1,7 @@
 //! The agent role: one small process beside each VM's endpoints and worker.
 //!
-//! [`AgentCore`] holds the VM's lease and its tasks, and the slots of its endpoints. It is given
-//! messages, results and time, and gives back [`Effect`]s; it does no I/O.
+//! [`AgentCore`] manages the VM's lease, its tasks and the slots of its endpoints. Its inputs are
+//! messages, results of calls and the time, its outputs [`Effect`]s; it does no I/O.
 
 mod core;
 mod endpoints;
--- a/src/agent/tasks.rs
+++ b/src/agent/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks of a VM, as its worker reports them.
+//! The tasks of a VM: those that its worker reports and those being started.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,11 @@
     prelude::*,
 };
 
-/// A call of the platform's worker, to be made by the HTTP adapter.
+/// A call to the platform's worker, made by the HTTP adapter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerCall {
-    /// Passes the lease on: the worker stops its tasks by itself at that time, and refuses calls
-    /// of older sessions.
+    /// Passes the lease to the worker, which stops its tasks by itself at `until_boottime_ms` and
+    /// refuses calls of older sessions.
     Lease {
         session: SessionId,
         until_boottime_ms: u64,
@@ -52,7 +52,7 @@
     pub task: TaskId,
     pub incarnation: u32,
     pub phase: TaskPhase,
-    /// Result, checkpoint or failure, by phase.
+    /// Result, checkpoint or failure reason, depending on the phase.
     #[serde(default)]
     pub detail: CompactString,
     #[serde(default)]
@@ -63,54 +63,55 @@
 /// A worker's report on all its tasks.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct WorkerReport {
-    /// The newest session that the worker was told of; zero for none.
+    /// The newest session that the worker received; zero if none.
     pub session: SessionId,
     pub tasks: Vec<WorkerTask>,
     pub usage: Usage,
 }
 
-/// How a call of the worker ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerResult {
     Done,
     Report(WorkerReport),
-    /// The worker answered that it did not do it.
+    /// The worker answered that it did not carry out the call.
     Refused(CompactString),
-    /// No answer: it may have done it.
+    /// The worker did not answer; it may have carried out the call.
     Failed(CompactString),
 }
 
 /// A start that the worker has not confirmed.
 #[derive(Clone, Debug)]
-struct Pending {
+struct PendingStart {
     incarnation: u32,
     start: Box<TaskStart>,
-    /// Whether the answer got lost, so that the start has to be asked for again.
+    /// Whether the worker's answer was lost, so that the start must be sent again.
     unanswered: bool,
 }
 
-/// What an agent knows of its VM's tasks.
+/// An agent's view of its VM's tasks.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Tasks {
     reported: BTreeMap<TaskId, WorkerTask>,
-    pending: BTreeMap<TaskId, Pending>,
-    /// Starts that the worker confirmed, until control has taken in their end. One that the worker
-    /// lists no more, as after its own restart, is reported as stopped and never started again.
-    started: BTreeMap<TaskId, u32>,
-    /// Failures to start, reported until control has taken them in.
-    failed: BTreeMap<TaskId, (u32, CompactString)>,
-    throttled: BTreeMap<TaskId, (u32, u32)>,
+    pending_starts: BTreeMap<TaskId, PendingStart>,
+    /// Incarnations whose start the worker confirmed, until control has recorded their end. A task
+    /// that the worker no longer lists, for instance after its own restart, is reported as stopped
+    /// and never started again.
+    confirmed_starts: BTreeMap<TaskId, u32>,
+    /// Failed starts with their reasons, reported until control has recorded them.
+    failed_starts: BTreeMap<TaskId, (u32, CompactString)>,
+    /// The last throttle per task, as incarnation and permille.
+    throttles: BTreeMap<TaskId, (u32, u32)>,
     pub usage: Option<Usage>,
 }
 
-/// Why an order to start is not followed.
+/// Why an order to start a task is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StartRejection {
-    /// This incarnation, or a newer one, is known already.
+    /// This task incarnation, or a newer one, is already known.
     AlreadyKnown,
-    /// An older incarnation still runs here; it goes first.
+    /// An older incarnation of the task still runs here and must end first.
     OlderRuns,
-    /// The VM cannot hold it.
+    /// The VM has too little free capacity.
     Full,
 }
 
@@ -124,43 +125,46 @@
             detail: it.detail.clone(),
             run_ms: it.run_ms,
         });
-        let starting = self.pending.iter().map(|(task, it)| TaskReport {
+        let starting = self.pending_starts.iter().map(|(task, it)| TaskReport {
             task: *task,
             incarnation: it.incarnation,
             phase: TaskPhase::Starting,
             detail: CompactString::default(),
             run_ms: 0,
         });
-        let failed = self.failed.iter().map(|(task, (incarnation, reason))| TaskReport {
+        let failed = self.failed_starts.iter().map(|(task, (incarnation, reason))| TaskReport {
             task: *task,
             incarnation: *incarnation,
             phase: TaskPhase::Failed,
             detail: reason.clone(),
             run_ms: 0,
         });
-        let is_known =
-            |task: &TaskId| self.reported.contains_key(task) || self.pending.contains_key(task);
+        let is_known = |task: &TaskId| {
+            self.reported.contains_key(task) || self.pending_starts.contains_key(task)
+        };
         let vanished =
-            self.started.iter().filter(|(task, _)| !is_known(task)).map(|(task, it)| TaskReport {
-                task: *task,
-                incarnation: *it,
-                phase: TaskPhase::Stopped,
-                detail: "the worker no longer knows it".into(),
-                run_ms: 0,
+            self.confirmed_starts.iter().filter(|(task, _)| !is_known(task)).map(|(task, it)| {
+                TaskReport {
+                    task: *task,
+                    incarnation: *it,
+                    phase: TaskPhase::Stopped,
+                    detail: "the worker no longer knows it".into(),
+                    run_ms: 0,
+                }
             });
         worker.chain(starting).chain(vanished).chain(failed).collect()
     }
 
-    /// Returns the tasks that the worker runs, by its last report.
+    /// Returns the tasks that run on the worker, by its last report.
     pub(super) fn running(&self) -> impl Iterator<Item = &WorkerTask> {
         self.reported.values().filter(|it| !has_ended(it.phase))
     }
 
-    /// Notes a start that is about to be asked of the worker.
+    /// Records a start that is about to be sent to the worker.
     ///
     /// # Errors
     ///
-    /// Returns why it must not be.
+    /// Returns why the start must not be sent.
     pub(super) fn try_start(
         &mut self,
         task: TaskId,
@@ -169,41 +173,51 @@
         capacity: Resources,
     ) -> Result<(), StartRejection> {
         let reported = self.reported.get(&task);
-        let known =
-            reported.map(|it| it.incarnation).max(self.pending.get(&task).map(|it| it.incarnation));
-        let known = known.max(self.failed.get(&task).map(|it| it.0));
-        let known = known.max(self.started.get(&task).copied());
-        if known.is_some_and(|it| incarnation <= it) {
+        let newest_known = reported
+            .map(|it| it.incarnation)
+            .max(self.pending_starts.get(&task).map(|it| it.incarnation));
+        let newest_known = newest_known.max(self.failed_starts.get(&task).map(|it| it.0));
+        let newest_known = newest_known.max(self.confirmed_starts.get(&task).copied());
+        if newest_known.is_some_and(|it| incarnation <= it) {
             return Err(StartRejection::AlreadyKnown);
         }
-        if reported.is_some_and(|it| !has_ended(it.phase)) || self.pending.contains_key(&task) {
+        if reported.is_some_and(|it| !has_ended(it.phase))
+            || self.pending_starts.contains_key(&task)
+        {
             return Err(StartRejection::OlderRuns);
         }
-        // Control's ledger decides; this second look keeps the promise even if that one is wrong.
+        // Control's ledger decides; this check keeps the VM within its capacity even if the ledger
+        // is wrong.
         let running = self.running().map(|it| it.resources);
-        let held = running
-            .chain(self.pending.values().map(|it| it.start.resources))
+        let reserved = running
+            .chain(self.pending_starts.values().map(|it| it.start.resources))
             .fold(NO_RESOURCES, add);
-        if !fits(add(held, start.resources), capacity) {
+        if !fits(add(reserved, start.resources), capacity) {
             return Err(StartRejection::Full);
         }
-        self.pending.insert(
+        self.pending_starts.insert(
             task,
-            Pending { incarnation, start: Box::new(start.clone()), unanswered: false },
+            PendingStart { incarnation, start: Box::new(start.clone()), unanswered: false },
         );
         Ok(())
     }
 
-    /// Takes in how a start ended.
-    pub(super) fn note_start(&mut self, task: TaskId, incarnation: u32, result: &WorkerResult) {
-        let Some(pending) = self.pending.get_mut(&task).filter(|it| it.incarnation == incarnation)
+    /// Records the result of a start call.
+    pub(super) fn note_start_result(
+        &mut self,
+        task: TaskId,
+        incarnation: u32,
+        result: &WorkerResult,
+    ) {
+        let Some(pending) =
+            self.pending_starts.get_mut(&task).filter(|it| it.incarnation == incarnation)
         else {
             return;
         };
         match result {
             WorkerResult::Refused(reason) => {
-                self.failed.insert(task, (incarnation, reason.clone()));
-                self.pending.remove(&task);
+                self.failed_starts.insert(task, (incarnation, reason.clone()));
+                self.pending_starts.remove(&task);
             }
             WorkerResult::Failed(_) => pending.unanswered = true,
             WorkerResult::Done | WorkerResult::Report(_) => {
@@ -215,61 +229,65 @@
                     run_ms: 0,
                     resources: pending.start.resources,
                 };
-                self.pending.remove(&task);
-                self.started.insert(task, incarnation);
+                self.pending_starts.remove(&task);
+                self.confirmed_starts.insert(task, incarnation);
                 self.reported.insert(task, it);
             }
         }
     }
 
-    /// Takes in the worker's report, asked for when nothing was on its way to the worker.
+    /// Records the worker's report, which was requested while no other call to the worker was in
+    /// flight.
     ///
-    /// Returns whether a phase changed, so that control is told at once.
-    pub(super) fn note_report(&mut self, it: WorkerReport) -> bool {
-        self.usage = Some(it.usage);
-        let reported: BTreeMap<_, _> = it.tasks.into_iter().map(|it| (it.task, it)).collect();
-        let phase = |list: &BTreeMap<TaskId, WorkerTask>| -> Vec<_> {
+    /// Returns whether a phase changed, so that control must be notified at once.
+    pub(super) fn note_report(&mut self, report: WorkerReport) -> bool {
+        self.usage = Some(report.usage);
+        let reported: BTreeMap<_, _> = report.tasks.into_iter().map(|it| (it.task, it)).collect();
+        let phases = |list: &BTreeMap<TaskId, WorkerTask>| -> Vec<_> {
             list.values().map(|it| (it.task, it.incarnation, it.phase)).collect()
         };
-        let changed = phase(&self.reported) != phase(&reported);
+        let changed = phases(&self.reported) != phases(&reported);
         self.reported = reported;
         let listed = &self.reported;
-        // A start whose answer got lost stays pending until the worker lists it: it is asked for
-        // again, which does no harm, while forgetting it could let it run unseen.
-        let arrived = |id: &TaskId, it: &Pending| {
+        // A start whose answer was lost stays pending until the worker lists the task. It is sent
+        // again, which is safe, while dropping it could let the task run without being reported.
+        let is_listed = |id: &TaskId, it: &PendingStart| {
             listed.get(id).is_some_and(|task| it.incarnation <= task.incarnation)
         };
-        self.pending.retain(|id, it| !arrived(id, it));
-        self.throttled.retain(|id, _| listed.contains_key(id));
+        self.pending_starts.retain(|id, it| !is_listed(id, it));
+        self.throttles.retain(|id, _| listed.contains_key(id));
         changed
     }
 
-    /// Takes the starts whose answers got lost, to be asked for again.
+    /// Takes the starts whose answers were lost, to be sent again.
     pub(super) fn take_unanswered(&mut self) -> Vec<(TaskId, u32, Box<TaskStart>)> {
-        let unanswered = self.pending.iter_mut().filter(|(_, it)| it.unanswered);
-        let again = unanswered.map(|(task, it)| {
+        let unanswered = self.pending_starts.iter_mut().filter(|(_, it)| it.unanswered);
+        let resends = unanswered.map(|(task, it)| {
             it.unanswered = false;
             (*task, it.incarnation, it.start.clone())
         });
-        again.collect()
+        resends.collect()
     }
 
-    /// Forgets an incarnation that control has taken in.
+    /// Forgets a task incarnation whose end control has recorded.
     pub(super) fn forget(&mut self, task: TaskId, incarnation: u32) {
-        if self.failed.get(&task).is_some_and(|it| it.0 <= incarnation) {
-            self.failed.remove(&task);
+        if self.failed_starts.get(&task).is_some_and(|it| it.0 <= incarnation) {
+            self.failed_starts.remove(&task);
         }
-        if self.started.get(&task).is_some_and(|it| *it <= incarnation) {
-            self.started.remove(&task);
+        if self.confirmed_starts.get(&task).is_some_and(|it| *it <= incarnation) {
+            self.confirmed_starts.remove(&task);
         }
     }
 
-    /// Returns whether a throttle is news to the worker.
+    /// Records a throttle; returns whether it differs from the last one sent to the worker.
     pub(super) fn note_throttle(&mut self, task: TaskId, incarnation: u32, permille: u32) -> bool {
-        self.throttled.insert(task, (incarnation, permille)) != Some((incarnation, permille))
+        self.throttles.insert(task, (incarnation, permille)) != Some((incarnation, permille))
     }
 }
 
-fn has_ended(it: TaskPhase) -> bool {
-    matches!(it, TaskPhase::Completed | TaskPhase::Failed | TaskPhase::Evicted | TaskPhase::Stopped)
+fn has_ended(phase: TaskPhase) -> bool {
+    matches!(
+        phase,
+        TaskPhase::Completed | TaskPhase::Failed | TaskPhase::Evicted | TaskPhase::Stopped
+    )
 }
--- a/src/config/adopted_configuration.rs
+++ b/src/config/adopted_configuration.rs
@@ -1,33 +1,34 @@
-//! The configuration in force in a process that does not hold the log.
+//! The configuration in force in a process that does not store the log.
 
 use std::net::SocketAddr;
 
 use crate::prelude::*;
 
-/// Pause between two questions to processes that are ahead.
-const ASK_MS: u64 = 200;
+/// Minimum interval between two fetches from peers with a newer configuration.
+const FETCH_INTERVAL_MS: u64 = 200;
 
 /// The configuration in force in an entry or an agent.
 ///
-/// It only ever moves forward: an update that is not newer changes nothing. A process starts
-/// with none, and takes its first only from the leader's answer to a question of this very run:
-/// a peer that lags, or an answer to an earlier run still on its way, could hold an older one
-/// than this process had in force before its restart. Later ones come from whoever is ahead.
+/// Its revision only increases: an update that is not newer is ignored. A process starts without
+/// a configuration and adopts its first one only from the leader's answer to a request of the
+/// current process. A lagging peer, or a delayed answer to the process before a restart, could
+/// carry an older configuration than was in force before the restart. Later configurations may
+/// come from any peer with a newer one.
 #[derive(Clone, Debug)]
 pub struct AdoptedConfiguration {
     current: Configuration,
-    asked_ms: Option<u64>,
+    last_fetch_ms: Option<u64>,
 }
 
 impl AdoptedConfiguration {
-    /// Makes a process's configuration before the first is known.
+    /// Creates the state of a process that knows no configuration yet.
     pub fn new() -> AdoptedConfiguration {
         let current =
             Configuration { revision: Revision(0), teams: Vec::new(), classes: Vec::new() };
-        AdoptedConfiguration { current, asked_ms: None }
+        AdoptedConfiguration { current, last_fetch_ms: None }
     }
 
-    /// Returns the revision in force; zero before the first is known.
+    /// Returns the revision in force; zero before the first configuration is known.
     pub fn revision(&self) -> Revision {
         self.current.revision
     }
@@ -44,43 +45,44 @@
         &self.current.classes
     }
 
-    /// Returns the whole configuration, for a process that is behind.
+    /// Returns the whole configuration, to send to a peer with an older one.
     pub fn current(&self) -> &Configuration {
         &self.current
     }
 
     /// Adopts a configuration if it is newer; returns whether it was.
-    pub fn adopt(&mut self, it: Configuration) -> bool {
-        let newer = self.current.revision < it.revision;
-        if newer {
-            tracing::info!(event = "configuration_adopted", revision = it.revision.0);
-            self.current = it;
+    pub fn adopt(&mut self, configuration: Configuration) -> bool {
+        let is_newer = self.current.revision < configuration.revision;
+        if is_newer {
+            tracing::info!(event = "configuration_adopted", revision = configuration.revision.0);
+            self.current = configuration;
         }
-        newer
+        is_newer
     }
 
-    /// Adopts what a peer sent, once the first one came from the leader.
-    pub fn adopt_from_peer(&mut self, it: Configuration) {
+    /// Adopts a newer configuration from a peer; ignores it before the leader's first one.
+    pub fn adopt_from_peer(&mut self, configuration: Configuration) {
         if Revision(0) < self.current.revision {
-            self.adopt(it);
+            self.adopt(configuration);
         }
     }
 
-    /// Returns the question to ask a peer whose revision is `theirs`, if it is ahead.
+    /// Returns the fetch to send to a peer with a newer revision, at most one per interval.
     pub fn config_fetch(
         &mut self,
         now: Now,
-        theirs: Revision,
+        peer_revision: Revision,
         reply_to: SocketAddr,
     ) -> Option<Message> {
         if self.current.revision == Revision(0) {
             return None;
         }
-        let asked_lately = self.asked_ms.is_some_and(|it| now.mono_ms < it + ASK_MS);
-        if theirs <= self.current.revision || asked_lately {
+        let fetched_recently =
+            self.last_fetch_ms.is_some_and(|it| now.mono_ms < it + FETCH_INTERVAL_MS);
+        if peer_revision <= self.current.revision || fetched_recently {
             return None;
         }
-        self.asked_ms = Some(now.mono_ms);
+        self.last_fetch_ms = Some(now.mono_ms);
         Some(Message::ConfigFetch(ConfigFetch { reply_to }))
     }
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,7 +1,7 @@
 //! Reading and checking the settings of a process.
 //!
-//! The schema in `schema/settings.json` is the only list of keys: their types, units, defaults
-//! and ranges are read from it here, and so is the page docs/SETTINGS.md.
+//! The schema in `schema/settings.json` is the only list of keys. Their types, units, defaults
+//! and ranges are read from it, and the page docs/SETTINGS.md is generated from it.
 
 use std::{collections::BTreeSet, fmt, net::SocketAddr, path::Path};
 
@@ -15,13 +15,13 @@
 
 const SCHEMA: &str = include_str!("../../schema/settings.json");
 
-/// One thing wrong with a settings file.
+/// One error in a settings file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsProblem {
     pub file: CompactString,
     pub section: CompactString,
     pub key: CompactString,
-    /// What is wrong, with the bad value and what is accepted.
+    /// The error, with the bad value and the accepted values.
     pub message: CompactString,
 }
 
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 ///
-/// Returns everything that is wrong with it, not only the first.
+/// Returns all errors of the file, not only the first.
 pub fn load_settings(path: &Path) -> Result<Settings, Vec<SettingsProblem>> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path)
@@ -49,14 +49,14 @@
     parse_settings(&file, &text)
 }
 
-/// Checks the text of a settings file; `file` is used in messages only.
+/// Parses and checks the text of a settings file; `file` is only used in error messages.
 ///
 /// # Errors
 ///
-/// Returns everything that is wrong with it, not only the first.
+/// Returns all errors of the file, not only the first.
 pub fn parse_settings(file: &str, text: &str) -> Result<Settings, Vec<SettingsProblem>> {
     let ini = Ini::load_from_str(text)
-        .map_err(|it| vec![problem(file, "", "", &format!("is no INI file: {it}"))])?;
+        .map_err(|it| vec![problem(file, "", "", &format!("not a valid INI file: {it}"))])?;
     let schema = Schema::new();
     let mut problems = Vec::new();
     let mut document = Map::new();
@@ -71,12 +71,12 @@
         }
         let Some(keys) = schema.keys_of(section) else {
             let names: Vec<_> = schema.section_names().cloned().collect();
-            let message = format!("unknown section; sections are {}", names.join(", "));
+            let message = format!("unknown section; accepted are {}", names.join(", "));
             problems.push(problem(file, section, "", &message));
             continue;
         };
         if !seen_sections.insert(section.to_owned()) {
-            problems.push(problem(file, section, "", "the section stands twice"));
+            problems.push(problem(file, section, "", "the section is given more than once"));
         }
         let mut values = Map::new();
         for (key, text) in properties.iter() {
@@ -88,7 +88,7 @@
                     problems.push(problem(file, section, key, &format!("unknown key{hint}")));
                 }
                 Some(_) if values.contains_key(key) => {
-                    problems.push(problem(file, section, key, "the key stands twice"))
+                    problems.push(problem(file, section, key, "the key is given more than once"))
                 }
                 Some(property) => match parse_value(property, text) {
                     Ok(it) => {
@@ -111,10 +111,10 @@
     }
     let settings: Settings = serde_json::from_value(Value::Object(document))
         .map_err(|it| vec![problem(file, "", "", &format!("does not match the schema: {it}"))])?;
-    check_whole(file, &settings)
+    check_consistency(file, &settings)
 }
 
-/// Returns the page that documents every key, made from the schema.
+/// Returns the page that documents every key, generated from the schema.
 pub fn settings_page() -> String {
     let schema = Schema::new();
     let mut res = String::from(
@@ -204,13 +204,13 @@
     let unit = property["x-unit"].as_str().map(|it| format!(" in {it}")).unwrap_or_default();
     let Ok(number) = text.parse::<u64>() else {
         return Err(format!(
-            "'{text}' is not a whole number{unit}, without unit; accepted is {}",
+            "'{text}' is not a whole number{unit} without a unit suffix; accepted is {}",
             range_of(property)
         ));
     };
-    let least = property["minimum"].as_u64().unwrap_or(0);
-    let most = property["maximum"].as_u64().unwrap_or(u64::MAX);
-    if number < least || most < number {
+    let min = property["minimum"].as_u64().unwrap_or(0);
+    let max = property["maximum"].as_u64().unwrap_or(u64::MAX);
+    if number < min || max < number {
         return Err(format!("{number} is out of range; accepted is {}{unit}", range_of(property)));
     }
     Ok(Value::from(number))
@@ -222,7 +222,7 @@
             Err(format!("'{text}' is not an IP address with port, such as 10.0.0.1:7000"))
         }
         "#/definitions/Role" if text.parse::<Role>().is_err() => Err(format!(
-            "'{text}' is not a role; roles are entry, agent, control, gateway, node, dispatch"
+            "'{text}' is not a role; accepted are entry, agent, control, gateway, node, dispatch"
         )),
         "#/definitions/Text" if text.is_empty() => Err("must not be empty".to_owned()),
         _ => Ok(Value::from(text)),
@@ -231,7 +231,7 @@
 
 fn range_of(property: &Value) -> String {
     match (property["minimum"].as_u64(), property["maximum"].as_u64()) {
-        (Some(least), Some(most)) => format!("{least} to {most}"),
+        (Some(min), Some(max)) => format!("{min} to {max}"),
         _ => "-".to_owned(),
     }
 }
@@ -259,27 +259,28 @@
     }
 }
 
+/// Returns the known key that shares the most `_`-separated words with `key`, if any shares one.
 fn nearest_of<'a>(key: &str, known: impl Iterator<Item = &'a String>) -> Option<&'a String> {
-    let shared =
+    let shared_words =
         |it: &str| it.split('_').filter(|part| key.split('_').any(|other| other == *part)).count();
     known
-        .map(|it| (shared(it), it))
+        .map(|it| (shared_words(it), it))
         .filter(|(count, _)| 0 < *count)
         .max_by_key(|(count, _)| *count)
         .map(|(_, it)| it)
 }
 
-/// Checks what no single key shows.
-fn check_whole(file: &str, it: &Settings) -> Result<Settings, Vec<SettingsProblem>> {
+/// Checks the conditions that involve several keys, the log level, files and directories.
+fn check_consistency(file: &str, settings: &Settings) -> Result<Settings, Vec<SettingsProblem>> {
     let mut problems = Vec::new();
-    let roles = &it.process.roles;
+    let roles = &settings.process.roles;
     let sections = [
-        (Role::Entry, "entry", it.entry.is_some()),
-        (Role::Agent, "agent", it.agent.is_some()),
-        (Role::Control, "control", it.control.is_some()),
-        (Role::Gateway, "gateway", it.gateway.is_some()),
-        (Role::Node, "node", it.node.is_some()),
-        (Role::Dispatch, "dispatch", it.dispatch.is_some()),
+        (Role::Entry, "entry", settings.entry.is_some()),
+        (Role::Agent, "agent", settings.agent.is_some()),
+        (Role::Control, "control", settings.control.is_some()),
+        (Role::Gateway, "gateway", settings.gateway.is_some()),
+        (Role::Node, "node", settings.node.is_some()),
+        (Role::Dispatch, "dispatch", settings.dispatch.is_some()),
     ];
     for (role, section, present) in sections {
         match (roles.contains(&role), present) {
@@ -287,69 +288,75 @@
                 file,
                 section,
                 "",
-                "the role is played but its section is missing",
+                "[process] roles names this role but its section is missing",
             )),
             (false, true) => problems.push(problem(
                 file,
                 section,
                 "",
-                "the section is there but the role is not played",
+                "the section is given but [process] roles does not name this role",
             )),
             _ => (),
         }
     }
-    let mut listens = vec![("link", it.link.listen)];
-    listens.extend(it.entry.as_ref().map(|it| ("entry", it.listen)));
-    listens.extend(it.agent.as_ref().map(|it| ("agent", it.listen)));
-    listens.extend(it.control.as_ref().map(|it| ("control", it.listen)));
-    listens.extend(it.gateway.as_ref().map(|it| ("gateway", it.listen)));
-    listens.extend(it.node.as_ref().map(|it| ("node", it.listen)));
-    for (at, (section, address)) in listens.iter().enumerate() {
+    let mut listen_addresses = vec![("link", settings.link.listen)];
+    listen_addresses.extend(settings.entry.as_ref().map(|it| ("entry", it.listen)));
+    listen_addresses.extend(settings.agent.as_ref().map(|it| ("agent", it.listen)));
+    listen_addresses.extend(settings.control.as_ref().map(|it| ("control", it.listen)));
+    listen_addresses.extend(settings.gateway.as_ref().map(|it| ("gateway", it.listen)));
+    listen_addresses.extend(settings.node.as_ref().map(|it| ("node", it.listen)));
+    for (index, (section, address)) in listen_addresses.iter().enumerate() {
         if let Some((other, _)) =
-            listens[..at].iter().find(|(_, it)| it == address && it.port() != 0)
+            listen_addresses[..index].iter().find(|(_, it)| it == address && it.port() != 0)
         {
-            let message = format!("{address} is the address of [{other}] too; each needs its own");
+            let message =
+                format!("{address} is also the address of [{other}]; each section needs its own");
             problems.push(problem(file, section, "listen", &message));
         }
     }
-    let mut controls = BTreeSet::new();
-    for address in &it.link.control {
-        if !controls.insert(*address) {
-            problems.push(problem(file, "link", "control", &format!("{address} stands twice")));
+    let mut control_addresses = BTreeSet::new();
+    for address in &settings.link.control {
+        if !control_addresses.insert(*address) {
+            problems.push(problem(
+                file,
+                "link",
+                "control",
+                &format!("{address} is listed more than once"),
+            ));
         }
     }
-    if it.process.log_level.parse::<tracing::Level>().is_err() {
+    if settings.process.log_level.parse::<tracing::Level>().is_err() {
         let message = format!(
-            "'{}' is not a level; levels are error, warn, info, debug, trace",
-            it.process.log_level
+            "'{}' is not a log level; accepted are error, warn, info, debug, trace",
+            settings.process.log_level
         );
         problems.push(problem(file, "process", "log_level", &message));
     }
-    if let Some(control) = &it.control {
+    if let Some(control) = &settings.control {
         check_control(file, control, &mut problems);
     }
-    if let Some(dispatch) = &it.dispatch {
+    if let Some(dispatch) = &settings.dispatch {
         check_dispatch(file, dispatch, &mut problems);
     }
     for (section, key, path) in [
-        ("entry", "teams_file", it.entry.as_ref().map(|it| &it.teams_file)),
-        ("control", "operators_file", it.control.as_ref().map(|it| &it.operators_file)),
+        ("entry", "teams_file", settings.entry.as_ref().map(|it| &it.teams_file)),
+        ("control", "operators_file", settings.control.as_ref().map(|it| &it.operators_file)),
     ] {
         if let Some(path) = path.filter(|it| !Path::new(it.as_str()).is_file()) {
-            problems.push(problem(file, section, key, &format!("there is no file '{path}'")));
+            problems.push(problem(file, section, key, &format!("file '{path}' does not exist")));
         }
     }
-    if problems.is_empty() { Ok(it.clone()) } else { Err(problems) }
+    if problems.is_empty() { Ok(settings.clone()) } else { Err(problems) }
 }
 
 fn check_dispatch(
     file: &str,
-    it: &crate::schema::settings::DispatchSettings,
+    settings: &crate::schema::settings::DispatchSettings,
     problems: &mut Vec<SettingsProblem>,
 ) {
-    check_election(file, "dispatch", it.election_timeout_ms, it.heartbeat_ms, problems);
-    if !Path::new(it.data_folder.as_str()).is_dir() {
-        let message = format!("there is no folder '{}'", it.data_folder);
+    check_election(file, "dispatch", settings.election_timeout_ms, settings.heartbeat_ms, problems);
+    if !Path::new(settings.data_folder.as_str()).is_dir() {
+        let message = format!("directory '{}' does not exist", settings.data_folder);
         problems.push(problem(file, "dispatch", "data_folder", &message));
     }
 }
@@ -363,7 +370,7 @@
 ) {
     if election_timeout_ms < heartbeat_ms * 3 {
         let message = format!(
-            "{election_timeout_ms} is less than three heartbeats of {heartbeat_ms} ms: a single lost one would depose the leader"
+            "{election_timeout_ms} is less than three heartbeats of {heartbeat_ms} ms: a single lost heartbeat would depose the leader"
         );
         problems.push(problem(file, section, "election_timeout_ms", &message));
     }
@@ -371,19 +378,22 @@
 
 fn check_control(
     file: &str,
-    it: &crate::schema::settings::ControlSettings,
+    settings: &crate::schema::settings::ControlSettings,
     problems: &mut Vec<SettingsProblem>,
 ) {
-    check_election(file, "control", it.election_timeout_ms, it.heartbeat_ms, problems);
-    if it.lease_ms < it.election_timeout_ms * 3 {
+    check_election(file, "control", settings.election_timeout_ms, settings.heartbeat_ms, problems);
+    if settings.lease_ms < settings.election_timeout_ms * 3 {
         let message = format!(
-            "{} is less than three election timeouts of {} ms: a change of leader would cost agents their leases",
-            it.lease_ms, it.election_timeout_ms
+            "{} is less than three election timeouts of {} ms: agents would lose their leases at a change of leader",
+            settings.lease_ms, settings.election_timeout_ms
         );
         problems.push(problem(file, "control", "lease_ms", &message));
     }
-    if !Path::new(it.data_folder.as_str()).is_dir() {
-        let message = format!("there is no folder '{}'; aspenrail init makes it", it.data_folder);
+    if !Path::new(settings.data_folder.as_str()).is_dir() {
+        let message = format!(
+            "directory '{}' does not exist; create it with 'aspenrail init'",
+            settings.data_folder
+        );
         problems.push(problem(file, "control", "data_folder", &message));
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,36 +1,37 @@
 //! aspenrail: a scheduler that colocates latency-critical services and batch work on one set of
 //! VMs.
 //!
-//! # A tour
+//! # Overview
 //!
-//! Three roles make an installation. An *entry* takes callers' requests; an *agent* stands beside
-//! the endpoints and the worker of each VM; *control* processes hold the replicated state and
-//! place the work. One binary plays any of them, as its settings say.
+//! An installation has three main roles. An *entry* accepts callers' requests; an *agent* runs
+//! next to the endpoints and the worker of each VM; *control* processes store the replicated
+//! state and place the work. One binary runs any of these roles, depending on its settings.
 //!
-//! Each role has a core that decides and does no I/O: [`entry::EntryCore`], [`agent::AgentCore`]
-//! and [`control::ControlCore`]. A core takes one input with the time, and gives back effects. The
-//! [`runtime`] puts cores into actors and carries out their effects: messages over [`link`],
-//! requests over [`http`], writes to a [`control::log::Disk`].
+//! Each role has a core that makes the decisions and does no I/O: [`entry::EntryCore`],
+//! [`agent::AgentCore`] and [`control::ControlCore`]. A core handles one input at a given time
+//! and returns effects. The [`runtime`] runs cores as actors and performs their effects: messages
+//! over [`link`], requests over [`http`], writes to a [`control::log::Disk`].
 //!
-//! Workflows, jobs of steps on the users' platform, have roles of their own: a [`gateway`] takes
-//! requests to the leader, a [`node`] stands beside each worker, and the leader's
-//! [`control::dispatch`] places what the ledger in [`control::state`] holds.
+//! Workflows, jobs of several steps on the users' platform, have roles of their own: a
+//! [`gateway`] forwards requests to the leader, a [`node`] runs next to each worker, and the
+//! leader's [`control::dispatch`] places the steps recorded in the ledger in [`control::state`].
 //!
-//! What must hold whatever anybody decides stands in [`control::state`], a function of the log
-//! alone; what is decided stands in [`policy`], functions over plain data. Messages, log commands
-//! and settings are generated from schema files into [`schema`]; [`config`] reads and checks
-//! settings and holds the configuration in force; [`error`] has the closed list of error kinds
-//! and the one table from kind to answer; [`metrics`] counts.
+//! The invariants, which hold whatever is decided, are enforced in [`control::state`], a function
+//! of the log alone. Decisions are made in [`policy`], functions over plain data. Messages, log
+//! commands and settings are generated from schema files into [`schema`]; [`config`] reads and
+//! checks settings and holds the configuration in force; [`error`] defines the closed list of
+//! error kinds and the single table that maps a kind to its answer; [`metrics`] has counters and
+//! histograms.
 //!
-//! [`standin`] has small stand-ins of what aspenrail serves, [`bench`] measurements, [`cli`] the
-//! command line.
+//! [`standin`] simulates endpoints and workers, [`bench`] measures performance, and [`cli`] is
+//! the command line.
 //!
-//! DESIGN.md tells which promise is kept where, and what was weighed; docs/ has the pages for
-//! callers, operators and the platform.
+//! DESIGN.md states which code keeps each guarantee, and which alternatives were considered;
+//! docs/ has the pages for callers, operators and the platform.
 //!
 //! # Example
 //!
-//! The order of waiting tasks is a decision, so it needs nothing but data:
+//! The order of waiting tasks is a decision, so it can be computed from plain data:
 //!
 //! ```
 //! use aspenrail::{
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The one binary of aspenrail.
+//! The `aspenrail` binary.
 
 use std::process::ExitCode;
 
@@ -6,8 +6,8 @@
 mod platform;
 
 fn main() -> ExitCode {
-    // A process of the users' platform finds its settings by the environment; all else is a
-    // command of the product.
+    // `serve` runs a process of the users' platform, which locates its settings through the
+    // environment. All other arguments are commands of aspenrail itself.
     if std::env::args_os().nth(1).is_some_and(|it| it == "serve") {
         return platform::serve();
     }
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,7 +1,7 @@
 //! Counters and histograms, one set per process.
 //!
-//! Label values come from closed lists, so that every counter exists at zero from the start and
-//! an alert on it can be written before it first moves.
+//! Label values come from closed lists, so every counter exists at zero from the start. Alerts on
+//! it can thus be written before its first increment.
 
 use std::sync::Arc;
 
@@ -15,14 +15,14 @@
     policy::retry::RetryReason, prelude::*,
 };
 
-/// Why an answer was not passed on.
+/// Why an entry dropped an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerDropReason {
-    /// Its request was answered or given up already.
+    /// Its request has already been answered or given up.
     Late,
-    /// It names no request of this process.
+    /// The answer belongs to no request of this process.
     UnknownRequest,
-    /// Its checksum is wrong.
+    /// The checksum does not match the body.
     ChecksumMismatch,
 }
 
@@ -48,8 +48,8 @@
     registry: Registry,
     refusals: IntCounterVec,
     retries: IntCounterVec,
-    dropped: IntCounterVec,
-    answers: HistogramVec,
+    dropped_answers: IntCounterVec,
+    answer_seconds: HistogramVec,
     gateway_refusals: IntCounterVec,
     announcements_passed_over: IntCounterVec,
     gateway_answers: HistogramVec,
@@ -69,19 +69,19 @@
     pub state: IntGaugeVec,
 }
 
-/// Upper bounds of the answer time buckets, in seconds.
-const ANSWER_BUCKETS: &[f64] = &[
+/// Upper bounds of the answer time buckets.
+const ANSWER_BUCKETS_S: &[f64] = &[
     0.001, 0.002, 0.003, 0.005, 0.0075, 0.01, 0.02, 0.03, 0.05, 0.075, 0.1, 0.2, 0.5, 1.0, 2.0,
     5.0, 10.0,
 ];
 
-/// Why a message between processes was not sent.
+/// Reasons for dropping a message between processes.
 pub const LINK_DROP_REASONS: [&str; 3] = ["queue_full", "no_connection", "too_large"];
 
-/// How a request ends in a gateway.
+/// Ends of a request in a gateway: answered, rejected or outcome unknown.
 pub const GATEWAY_ENDS: [&str; 3] = ["told", "not_taken", "unknown"];
 
-/// What is counted of the state.
+/// Values of the `table` label of `aspenrail_state`.
 pub const STATE_GAUGES: [&str; 12] = [
     "vms",
     "jobs",
@@ -98,7 +98,7 @@
 ];
 
 impl Metrics {
-    /// Makes the metrics of a process, all at zero.
+    /// Creates the metrics of a process, all at zero.
     pub fn new() -> Arc<Metrics> {
         Arc::new(Metrics::build().expect("names and labels are constant and valid"))
     }
@@ -118,7 +118,7 @@
         let refusals = counters("aspenrail_refusals_total", "Requests refused, by kind.", "kind")?;
         let retries =
             counters("aspenrail_retries_total", "Attempts repeated, by reason.", "reason")?;
-        let dropped = counters(
+        let dropped_answers = counters(
             "aspenrail_answers_dropped_total",
             "Answers not passed on, by reason.",
             "reason",
@@ -129,14 +129,17 @@
             .iter()
             .for_each(|it| drop(refusals.with_label_values(&[&it.kind.to_string()])));
         RetryReason::ALL.iter().for_each(|it| drop(retries.with_label_values(&[it.as_str()])));
-        AnswerDropReason::ALL.iter().for_each(|it| drop(dropped.with_label_values(&[it.as_str()])));
+        AnswerDropReason::ALL
+            .iter()
+            .for_each(|it| drop(dropped_answers.with_label_values(&[it.as_str()])));
         LINK_DROP_REASONS.iter().for_each(|it| drop(link_dropped.with_label_values(&[it])));
         let options = HistogramOpts::new(
             "aspenrail_answer_seconds",
             "Answer times of quick requests, by class.",
         );
-        let answers = HistogramVec::new(options.buckets(ANSWER_BUCKETS.to_vec()), &["class"])?;
-        registry.register(Box::new(answers.clone()))?;
+        let answer_seconds =
+            HistogramVec::new(options.buckets(ANSWER_BUCKETS_S.to_vec()), &["class"])?;
+        registry.register(Box::new(answer_seconds.clone()))?;
         let gateway_refusals = counters(
             "aspenrail_gateway_refusals_total",
             "Requests about workflows that were not taken, by cause.",
@@ -158,7 +161,7 @@
             "Time of a request about workflows in the gateway, by its end.",
         );
         let gateway_answers =
-            HistogramVec::new(options.buckets(ANSWER_BUCKETS.to_vec()), &["end"])?;
+            HistogramVec::new(options.buckets(ANSWER_BUCKETS_S.to_vec()), &["end"])?;
         registry.register(Box::new(gateway_answers.clone()))?;
         GATEWAY_ENDS.iter().for_each(|it| drop(gateway_answers.with_label_values(&[it])));
         let in_force_revision =
@@ -173,8 +176,8 @@
         Ok(Metrics {
             refusals,
             retries,
-            dropped,
-            answers,
+            dropped_answers,
+            answer_seconds,
             gateway_refusals,
             announcements_passed_over,
             gateway_answers,
@@ -223,39 +226,36 @@
         })
     }
 
-    /// Sets gauges of the state; each name is one of [`STATE_GAUGES`].
-    pub fn set_state(&self, rows: &[(&'static str, usize)]) {
-        for (table, rows) in rows {
-            self.state.with_label_values(&[table]).set(*rows as i64);
+    /// Sets gauges of the state; each table name is one of [`STATE_GAUGES`].
+    pub fn set_state(&self, row_counts: &[(&'static str, usize)]) {
+        for (table, row_count) in row_counts {
+            self.state.with_label_values(&[table]).set(*row_count as i64);
         }
     }
 
-    /// Counts a refusal.
     pub fn count_refusal(&self, kind: ErrorKind) {
         self.refusals.with_label_values(&[&kind.to_string()]).inc();
     }
 
-    /// Returns how often a kind was refused.
     pub fn refusal_count(&self, kind: ErrorKind) -> u64 {
         self.refusals.with_label_values(&[&kind.to_string()]).get()
     }
 
-    /// Counts an attempt after the first.
+    /// Counts an attempt after the first one of a request.
     pub fn count_retry(&self, reason: RetryReason) {
         self.retries.with_label_values(&[reason.as_str()]).inc();
     }
 
-    /// Counts an answer that was not passed on.
     pub fn count_dropped_answer(&self, reason: AnswerDropReason) {
-        self.dropped.with_label_values(&[reason.as_str()]).inc();
+        self.dropped_answers.with_label_values(&[reason.as_str()]).inc();
     }
 
-    /// Counts a request about workflows that was not taken.
+    /// Counts a request about workflows that the gateway did not accept.
     pub fn gateway_refused(&self, cause: RejectionCause) {
         self.gateway_refusals.with_label_values(&[cause.as_str()]).inc();
     }
 
-    /// Counts an announcement of a worker that named none for use.
+    /// Counts an ignored announcement of a worker.
     pub fn announcement_passed_over(&self, cause: AnnouncementRejection) {
         self.announcements_passed_over.with_label_values(&[cause.as_str()]).inc();
     }
@@ -265,30 +265,28 @@
         self.gateway_answers.with_label_values(&[end]).observe(seconds);
     }
 
-    /// Counts a connection that was given up as silent.
+    /// Counts a connection that was closed because it carried no data.
     pub fn count_silent_link(&self) {
         self.link_silent.inc();
     }
 
-    /// Returns how many connections were given up as silent.
     pub fn silent_link_count(&self) -> u64 {
         self.link_silent.get()
     }
 
-    /// Counts a message that was not sent; `reason` is one of [`LINK_DROP_REASONS`].
+    /// Counts a dropped message; `reason` is one of [`LINK_DROP_REASONS`].
     pub fn count_dropped_message(&self, reason: &'static str) {
         self.link_dropped.with_label_values(&[reason]).inc();
     }
 
-    /// Counts an answer and its time.
     pub fn observe_answer(&self, class: &str, seconds: f64) {
-        self.answers.with_label_values(&[class]).observe(seconds);
+        self.answer_seconds.with_label_values(&[class]).observe(seconds);
     }
 
-    /// Returns all metrics in the text form.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let mut buffer = Vec::new();
-        // Writing into memory fails only for names that `new` would have refused.
+        // Encoding into memory fails only for metrics that `Metrics::build` would have rejected.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut buffer);
         String::from_utf8(buffer).unwrap_or_default()
     }
--- a/src/prelude.rs
+++ b/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that nearly every module uses.
+//! Types that nearly every module uses.
 
 pub use compact_str::{CompactString, ToCompactString, format_compact};
 
--- a/src/schema/mod.rs
+++ b/src/schema/mod.rs
@@ -1,7 +1,7 @@
 //! Messages, log commands and settings, generated from the files in `schema/`.
 //!
-//! The schema files are the source; `tests/schema.rs` proves that the committed code is what
-//! they generate, and writes it anew on request. The build itself needs no generator.
+//! The schema files are the source. `tests/schema.rs` checks that the committed code matches them
+//! and regenerates it on request, so the build itself needs no generator.
 
 #[allow(clippy::all, missing_docs, rustdoc::all)]
 #[rustfmt::skip]
@@ -10,5 +10,6 @@
 #[rustfmt::skip]
 pub mod settings;
 
-/// Version of the protocol between processes; a peer with another one is refused by name.
+/// Version of the protocol between processes; peers with another version are refused with an error
+/// that states it.
 pub const PROTOCOL_VERSION: u32 = 1;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is refused, with which words, and the page about them.
+//! Settings: defaults, the error message of each bad value, and the generated page.
 #![allow(clippy::unwrap_used)]
 
 use std::{fs, path::Path};
@@ -24,20 +24,20 @@
 
 #[yare::parameterized(
     unknown_key = { "vm = v", "vm = v\nheartbeat = 5", "[agent] heartbeat: unknown key; did you mean heartbeat_ms?" },
-    unit_in_value = { "vm = v", "vm = v\nheartbeat_ms = 5s", "[agent] heartbeat_ms: '5s' is not a whole number in ms, without unit; accepted is 10 to 60000" },
+    unit_in_value = { "vm = v", "vm = v\nheartbeat_ms = 5s", "[agent] heartbeat_ms: '5s' is not a whole number in ms without a unit suffix; accepted is 10 to 60000" },
     out_of_range = { "vm = v", "vm = v\nheartbeat_ms = 5", "[agent] heartbeat_ms: 5 is out of range; accepted is 10 to 60000 in ms" },
     negative = { "vm = v", "vm = v\nheartbeat_ms = -5", "'-5' is not a whole number" },
-    key_twice = { "vm = v", "vm = v\nvm = w", "[agent] vm: the key stands twice" },
+    key_twice = { "vm = v", "vm = v\nvm = w", "[agent] vm: the key is given more than once" },
     missing_key = { "vm = v\n", "", "[agent] vm: the key is missing and has no default" },
     bad_address = { "127.0.0.1:7004", "localhost:7004", "[agent] worker: 'localhost:7004' is not an IP address with port" },
-    address_twice = { "listen = 127.0.0.1:7003", "listen = 127.0.0.1:7000", "127.0.0.1:7000 is the address of [link] too" },
-    control_twice = { "127.0.0.1:7002", "127.0.0.1:7001", "[link] control: 127.0.0.1:7001 stands twice" },
-    unknown_role = { "roles = agent", "roles = agent, king", "[process] roles: 'king' is not a role; roles are entry, agent, control, gateway, node, dispatch" },
-    role_without_section = { "roles = agent", "roles = agent, entry", "[entry]: the role is played but its section is missing" },
-    section_without_role = { "[agent]", "[control]\nlisten = 127.0.0.1:7009\ndata_folder = /\noperators_file = /x\n[agent]", "[control]: the section is there but the role is not played" },
+    address_twice = { "listen = 127.0.0.1:7003", "listen = 127.0.0.1:7000", "127.0.0.1:7000 is also the address of [link]" },
+    control_twice = { "127.0.0.1:7002", "127.0.0.1:7001", "[link] control: 127.0.0.1:7001 is listed more than once" },
+    unknown_role = { "roles = agent", "roles = agent, king", "[process] roles: 'king' is not a role; accepted are entry, agent, control, gateway, node, dispatch" },
+    role_without_section = { "roles = agent", "roles = agent, entry", "[entry]: [process] roles names this role but its section is missing" },
+    section_without_role = { "[agent]", "[control]\nlisten = 127.0.0.1:7009\ndata_folder = /\noperators_file = /x\n[agent]", "[control]: the section is given but [process] roles does not name this role" },
     unknown_section = { "[agent]", "[agents]\na = 1\n[agent]", "[agents]: unknown section" },
     missing_section = { "[link]\nlisten = 127.0.0.1:7000\ncontrol = 127.0.0.1:7001, 127.0.0.1:7002\n", "", "[link]: the section is missing" },
-    log_level = { "zone = z", "zone = z\nlog_level = loud", "'loud' is not a level" },
+    log_level = { "zone = z", "zone = z\nlog_level = loud", "'loud' is not a log level" },
     empty_text = { "vm = v", "vm =", "[agent] vm: must not be empty" },
 )]
 fn wrong_settings_are_refused_by_name(from: &str, to: &str, expected: &str) {
@@ -48,10 +48,10 @@
 }
 
 #[yare::parameterized(
-    no_folder = { "data_folder = /nowhere/at/all", "[control] data_folder: there is no folder '/nowhere/at/all'" },
+    no_folder = { "data_folder = /nowhere/at/all", "[control] data_folder: directory '/nowhere/at/all' does not exist; create it with 'aspenrail init'" },
     short_election = { "data_folder = /\nelection_timeout_ms = 200", "200 is less than three heartbeats of 100 ms" },
     short_lease = { "data_folder = /\nlease_ms = 2000", "2000 is less than three election timeouts of 1000 ms" },
-    no_operators = { "data_folder = /", "there is no file '/nowhere'" },
+    no_operators = { "data_folder = /", "file '/nowhere' does not exist" },
 )]
 fn wrong_control_settings_are_refused(lines: &str, expected: &str) {
     let text = format!(
@@ -69,7 +69,7 @@
     assert_eq!(problems(&text).lines().count(), 4, "{}", problems(&text));
 }
 
-/// `ASPENRAIL_REGENERATE=1 cargo test --test settings` writes the page anew.
+/// `ASPENRAIL_REGENERATE=1 cargo test --test settings` regenerates the page.
 #[test]
 fn page_matches_the_schema() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/SETTINGS.md");
