--- a/src/http/admin.rs
+++ b/src/http/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' edge: docs/API.md describes it.
+//! Requests of operators; see docs/API.md.
 
 use crate::{
     http::{HttpRequest, Tokens},
@@ -18,26 +18,26 @@
 struct ZoneBody {
     zone: CompactString,
     evacuated: bool,
-    /// Revision of the list that the operator saw; without it the newest.
+    /// Revision of the list that the operator saw; the newest if absent.
     based_on: Option<u64>,
 }
 
-/// Reads an operator's request.
+/// Parses an operator's request.
 ///
 /// # Errors
 ///
-/// Returns a refusal; nothing was begun then.
-pub fn parse(tokens: &Tokens, it: &HttpRequest) -> Result<Operation, Refusal> {
-    let Some(operator) = tokens.holder(it.header("Authorization")) else {
+/// Returns a refusal; the request then had no effect.
+pub fn parse(tokens: &Tokens, request: &HttpRequest) -> Result<Operation, Refusal> {
+    let Some(operator) = tokens.holder(request.header("Authorization")) else {
         return Err(refusal(
             ErrorKind::Unauthenticated,
             "send the operator's token as Authorization: Bearer TOKEN",
         ));
     };
-    let parts: Vec<_> = it.path.trim_matches('/').split('/').collect();
-    match (it.method.as_str(), parts.as_slice()) {
+    let parts: Vec<_> = request.path.trim_matches('/').split('/').collect();
+    match (request.method.as_str(), parts.as_slice()) {
         ("POST", ["v1", "admin", "configuration"]) => {
-            let ChangeBody { based_on, key, change } = it.json()?;
+            let ChangeBody { based_on, key, change } = request.json()?;
             if key.is_empty() {
                 return Err(refusal(ErrorKind::BadRequest, "key must not be empty"));
             }
@@ -45,11 +45,11 @@
             Ok(Operation::Propose(Command::Configure(command)))
         }
         ("POST", ["v1", "admin", "evacuations"]) => {
-            let ZoneBody { zone, evacuated, based_on } = it.json()?;
+            let ZoneBody { zone, evacuated, based_on } = request.json()?;
             Ok(Operation::Evacuate(EvacuateRequest { zone, evacuated, by: operator, based_on }))
         }
-        ("POST", ["v1", "admin", "members"]) => Ok(Operation::Membership(it.json()?)),
-        ("POST", ["v1", "admin", "drain"]) => Ok(Operation::Drain(it.json()?)),
+        ("POST", ["v1", "admin", "members"]) => Ok(Operation::Membership(request.json()?)),
+        ("POST", ["v1", "admin", "drain"]) => Ok(Operation::Drain(request.json()?)),
         ("GET", ["v1", "admin", view]) => {
             let view: AdminView = view.parse().map_err(|_| {
                 refusal(ErrorKind::NotFound, format_compact!("nothing is named {view}"))
@@ -57,9 +57,9 @@
             Ok(Operation::Query(Query::View(view)))
         }
         (_, ["v1", "admin", ..]) => {
-            let detail = format_compact!("{} is not for {}", it.method, it.path);
+            let detail = format_compact!("{} is not for {}", request.method, request.path);
             Err(refusal(ErrorKind::MethodNotAllowed, detail))
         }
-        _ => Err(refusal(ErrorKind::NotFound, format_compact!("nothing is at {}", it.path))),
+        _ => Err(refusal(ErrorKind::NotFound, format_compact!("nothing is at {}", request.path))),
     }
 }
--- a/src/http/answer.rs
+++ b/src/http/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the edges.
+//! Answers to HTTP requests.
 
 use serde_json::{Value, json};
 
@@ -14,12 +14,12 @@
 }
 
 impl HttpAnswer {
-    /// Makes a JSON answer.
+    /// Returns an answer with a JSON body.
     pub fn json(status: u16, body: &Value) -> HttpAnswer {
         HttpAnswer::text(status, "application/json", body.to_string())
     }
 
-    /// Makes an answer from text.
+    /// Returns an answer with a text body.
     pub fn text(status: u16, content_type: &str, body: String) -> HttpAnswer {
         HttpAnswer {
             status,
@@ -29,31 +29,31 @@
         }
     }
 
-    /// Makes the answer to a refusal, by the one table.
-    pub fn refusal(it: &Refusal) -> HttpAnswer {
-        let row = answer_for_error(it.kind);
+    /// Returns the answer to a refusal, as defined by [`answer_for_error`].
+    pub fn refusal(refusal: &Refusal) -> HttpAnswer {
+        let row = answer_for_error(refusal.kind);
         let body = json!({
-            "error": it.kind,
-            "detail": it.detail,
+            "error": refusal.kind,
+            "detail": refusal.detail,
             "ran": row.execution.as_str(),
             "retryable": row.retryable,
-            "retry_after_ms": it.retry_after_ms,
+            "retry_after_ms": refusal.retry_after_ms,
         });
         let mut res = HttpAnswer::json(row.status, &body);
-        if matches!(it.kind, ErrorKind::Draining | ErrorKind::ShuttingDown) {
-            // The next request of this caller has to go to another process.
+        if matches!(refusal.kind, ErrorKind::Draining | ErrorKind::ShuttingDown) {
+            // Makes the caller send its next request to another process.
             res.headers.push(("Connection", "close".to_owned()));
         }
-        if 0 < it.retry_after_ms {
-            // The header counts whole seconds; the body has the exact time.
-            res.headers.push(("Retry-After", it.retry_after_ms.div_ceil(1_000).to_string()));
+        if 0 < refusal.retry_after_ms {
+            // The header is in whole seconds; the body has the exact time.
+            res.headers.push(("Retry-After", refusal.retry_after_ms.div_ceil(1_000).to_string()));
         }
         res
     }
 
-    /// Makes the answer to a successful operation of control.
-    pub fn reply(it: &Reply) -> HttpAnswer {
-        match it {
+    /// Returns the answer to a successful control operation.
+    pub fn reply(reply: &Reply) -> HttpAnswer {
+        match reply {
             Reply::Done => HttpAnswer::json(200, &json!({"done": true})),
             Reply::SessionOpened(it) => HttpAnswer::json(200, &json!(it)),
             Reply::Configured(it) => HttpAnswer::json(200, &json!({"revision": it})),
--- a/src/http/caller.rs
+++ b/src/http/caller.rs
@@ -1,4 +1,4 @@
-//! The callers' edge: docs/API.md describes it.
+//! Requests of callers; see docs/API.md.
 
 use crate::{
     entry::{CallerAnswer, CallerRequest, QuickRequest},
@@ -6,10 +6,10 @@
     prelude::*,
 };
 
-/// Deadline of a quick request that names none.
+/// Deadline of a quick request that has no deadline header.
 const DEADLINE_DEFAULT_MS: u64 = 1_000;
 
-/// Wait of a poll that names none.
+/// Wait of a poll that has no `wait_ms` parameter.
 const WAIT_DEFAULT_MS: u64 = 0;
 
 /// Longest idempotency key, subject, class or kind.
@@ -46,30 +46,33 @@
     body: CompactString,
 }
 
-/// Reads a caller's request.
+/// Parses a request and returns it with the caller's team.
 ///
 /// # Errors
 ///
-/// Returns a refusal; nothing was begun then.
-pub fn parse(tokens: &Tokens, it: &HttpRequest) -> Result<(CompactString, CallerRequest), Refusal> {
-    let Some(team) = tokens.holder(it.header("Authorization")) else {
+/// Returns a refusal; the request then had no effect.
+pub fn parse(
+    tokens: &Tokens,
+    request: &HttpRequest,
+) -> Result<(CompactString, CallerRequest), Refusal> {
+    let Some(team) = tokens.holder(request.header("Authorization")) else {
         return Err(refusal(
             ErrorKind::Unauthenticated,
             "send the team's token as Authorization: Bearer TOKEN",
         ));
     };
-    let parts: Vec<_> = it.path.trim_matches('/').split('/').collect();
-    let request = match (it.method.as_str(), parts.as_slice()) {
-        ("POST", ["v1", "quick", class, ..]) => quick(it, class)?,
+    let parts: Vec<_> = request.path.trim_matches('/').split('/').collect();
+    let caller_request = match (request.method.as_str(), parts.as_slice()) {
+        ("POST", ["v1", "quick", class, ..]) => parse_quick_request(request, class)?,
         ("POST", ["v1", "jobs"]) => {
-            let SubmitBody { key, spec } = it.json()?;
+            let SubmitBody { key, spec } = request.json()?;
             check_names(&[("key", &key), ("class", &spec.class), ("kind", &spec.kind)])?;
             check_length("subject", &spec.subject, NAME_MAX_BYTES)?;
             check_length("payload", &spec.payload, PAYLOAD_MAX_BYTES)?;
             CallerRequest::Submit { key, spec }
         }
         ("POST", ["v1", "jobs", "cancel"]) => {
-            let CancelBody { jobs } = it.json()?;
+            let CancelBody { jobs } = request.json()?;
             if jobs.is_empty() || 10_000 < jobs.len() {
                 let detail =
                     format_compact!("{} jobs are named, out of range 1 to 10000", jobs.len());
@@ -77,43 +80,47 @@
             }
             CallerRequest::Cancel(jobs)
         }
-        ("GET", ["v1", "jobs", id]) => CallerRequest::Job(JobId(number("job", id)?)),
-        ("GET", ["v1", "jobs", id, "result"]) => {
-            CallerRequest::JobResult { job: JobId(number("job", id)?), wait_ms: wait_ms(it)? }
-        }
+        ("GET", ["v1", "jobs", id]) => CallerRequest::Job(JobId(parse_number("job", id)?)),
+        ("GET", ["v1", "jobs", id, "result"]) => CallerRequest::JobResult {
+            job: JobId(parse_number("job", id)?),
+            wait_ms: wait_ms(request)?,
+        },
         ("POST", ["v1", "watches"]) => {
-            let WatchBody { key, subject } = it.json()?;
+            let WatchBody { key, subject } = request.json()?;
             check_names(&[("key", &key), ("subject", &subject)])?;
             CallerRequest::CreateWatch { key, subject }
         }
         ("GET", ["v1", "watches", id]) => CallerRequest::PollWatch {
-            watch: WatchId(number("watch", id)?),
-            cursor: it.number("cursor", 0)?,
-            wait_ms: wait_ms(it)?,
+            watch: WatchId(parse_number("watch", id)?),
+            cursor: request.query_number("cursor", 0)?,
+            wait_ms: wait_ms(request)?,
         },
         ("DELETE", ["v1", "watches", id]) => {
-            CallerRequest::DeleteWatch(WatchId(number("watch", id)?))
+            CallerRequest::DeleteWatch(WatchId(parse_number("watch", id)?))
         }
         ("POST", ["v1", "events"]) => {
-            let EventBody { key, subject, body } = it.json()?;
+            let EventBody { key, subject, body } = request.json()?;
             check_names(&[("key", &key), ("subject", &subject)])?;
             check_length("body", &body, PAYLOAD_MAX_BYTES)?;
             CallerRequest::Publish { key, subject, body }
         }
         (_, ["v1", "quick" | "jobs" | "watches" | "events", ..]) => {
-            let detail = format_compact!("{} is not for {}", it.method, it.path);
+            let detail = format_compact!("{} is not for {}", request.method, request.path);
             return Err(refusal(ErrorKind::MethodNotAllowed, detail));
         }
         _ => {
-            return Err(refusal(ErrorKind::NotFound, format_compact!("nothing is at {}", it.path)));
+            return Err(refusal(
+                ErrorKind::NotFound,
+                format_compact!("nothing is at {}", request.path),
+            ));
         }
     };
-    Ok((team, request))
+    Ok((team, caller_request))
 }
 
 /// Returns the HTTP form of an answer.
-pub fn answer(it: CallerAnswer) -> HttpAnswer {
-    match it {
+pub fn answer(answer: CallerAnswer) -> HttpAnswer {
+    match answer {
         CallerAnswer::Quick { status, content_type, body, attempts } => HttpAnswer {
             status,
             content_type,
@@ -129,47 +136,47 @@
     }
 }
 
-fn quick(it: &HttpRequest, class: &str) -> Result<CallerRequest, Refusal> {
-    let deadline_ms = match it.header("Aspenrail-Deadline-Ms") {
-        Some(text) => number("Aspenrail-Deadline-Ms", text)?,
+fn parse_quick_request(request: &HttpRequest, class: &str) -> Result<CallerRequest, Refusal> {
+    let deadline_ms = match request.header("Aspenrail-Deadline-Ms") {
+        Some(text) => parse_number("Aspenrail-Deadline-Ms", text)?,
         None => DEADLINE_DEFAULT_MS,
     };
-    let idempotent = match it.header("Aspenrail-Idempotent") {
+    let idempotent = match request.header("Aspenrail-Idempotent") {
         Some("true") => true,
         Some("false") => false,
-        // Taken for the careful case: running twice what must run once cannot be mended.
+        // The safe default: running a request twice that must run once cannot be undone.
         None => false,
         Some(other) => {
             let detail = format_compact!("Aspenrail-Idempotent is '{other}', not true or false");
             return Err(refusal(ErrorKind::BadRequest, detail));
         }
     };
-    let key = it.header("Idempotency-Key").map(CompactString::from);
+    let key = request.header("Idempotency-Key").map(CompactString::from);
     if let Some(key) = &key {
         check_names(&[("Idempotency-Key", key)])?;
     }
     Ok(CallerRequest::Quick(QuickRequest {
         class: class.into(),
-        path: endpoint_path(it, class),
+        path: endpoint_path(request, class),
         deadline_ms: deadline_ms.min(u32::MAX.into()) as u32,
         idempotent,
         key,
-        body: it.body.clone(),
+        body: request.body.clone(),
     }))
 }
 
-/// Returns the part of a quick request's target that is the endpoint's, query included.
-fn endpoint_path(it: &HttpRequest, class: &str) -> CompactString {
-    let target = it.path_and_query.trim_start_matches('/');
+/// Returns the path and query for the endpoint, which follow `/v1/quick/CLASS`.
+fn endpoint_path(request: &HttpRequest, class: &str) -> CompactString {
+    let target = request.path_and_query.trim_start_matches('/');
     let rest = target.strip_prefix("v1/quick/").and_then(|it| it.strip_prefix(class)).unwrap_or("");
     if rest.starts_with('/') { rest.into() } else { format_compact!("/{rest}") }
 }
 
-fn wait_ms(it: &HttpRequest) -> Result<u32, Refusal> {
-    Ok(it.number("wait_ms", WAIT_DEFAULT_MS)?.min(u32::MAX.into()) as u32)
+fn wait_ms(request: &HttpRequest) -> Result<u32, Refusal> {
+    Ok(request.query_number("wait_ms", WAIT_DEFAULT_MS)?.min(u32::MAX.into()) as u32)
 }
 
-fn number(name: &str, text: &str) -> Result<u64, Refusal> {
+fn parse_number(name: &str, text: &str) -> Result<u64, Refusal> {
     text.parse().map_err(|_| {
         refusal(ErrorKind::BadRequest, format_compact!("{name} is '{text}', not a whole number"))
     })
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,4 @@
-//! Calls of endpoints and workers over HTTP: docs/PLATFORM.md describes them.
+//! HTTP calls from the agent to endpoints and workers; see docs/PLATFORM.md.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,17 +10,17 @@
     prelude::*,
 };
 
-/// Time that a worker has to answer. It is well below the margin of a lease, so that a call
-/// under way when the lease ends cannot outlive the margin.
+/// Time limit for a call to a worker. It is well below the margin of a lease, so that a call that
+/// is in progress when the lease ends cannot outlast the margin.
 const WORKER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Largest answer of an endpoint or a worker.
+/// Largest answer accepted from an endpoint or a worker.
 const ANSWER_MAX_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Idle time after which a connection is not used again; endpoints may close it on their side.
+/// Idle time after which a connection is not reused, since the endpoint may have closed it.
 const IDLE_MAX: Duration = Duration::from_secs(3);
 
-/// Makes an HTTP client that hands every status back as an answer.
+/// Creates an HTTP client that returns responses of every status as `Ok`.
 pub fn new_client(connections: usize) -> Agent {
     Agent::config_builder()
         .http_status_as_error(false)
@@ -33,16 +33,16 @@
 }
 
 /// Calls an endpoint.
-pub fn call_executor(client: &Agent, it: &ExecutorCall) -> ExecutorResult {
-    let sent = client
-        .post(format!("http://{}{}", it.address, it.path))
-        .header("Aspenrail-Request", format!("{:x}-{}", it.request.boot, it.request.number))
-        .header("Aspenrail-Team", it.team.as_str())
+pub fn call_executor(client: &Agent, call: &ExecutorCall) -> ExecutorResult {
+    let result = client
+        .post(format!("http://{}{}", call.address, call.path))
+        .header("Aspenrail-Request", format!("{:x}-{}", call.request.boot, call.request.number))
+        .header("Aspenrail-Team", call.team.as_str())
         .config()
-        .timeout_global(Some(Duration::from_millis(it.timeout_ms.max(1))))
+        .timeout_global(Some(Duration::from_millis(call.timeout_ms.max(1))))
         .build()
-        .send(&it.body[..]);
-    let mut response = match sent {
+        .send(&call.body[..]);
+    let mut response = match result {
         Ok(it) => it,
         Err(error) if was_not_sent(&error) => {
             return ExecutorResult::NotSent(format_compact!("{error}"));
@@ -64,7 +64,7 @@
     }
 }
 
-/// Returns whether an error proves that nothing of the request reached the endpoint.
+/// Returns whether an error proves that no part of the request reached the endpoint.
 fn was_not_sent(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::ConnectionFailed => true,
@@ -75,9 +75,9 @@
 }
 
 /// Calls a worker.
-pub fn call_worker(client: &Agent, worker: SocketAddr, it: &WorkerCall) -> WorkerResult {
-    let (path, body) = match it {
-        WorkerCall::List => return list(client, worker),
+pub fn call_worker(client: &Agent, worker: SocketAddr, call: &WorkerCall) -> WorkerResult {
+    let (path, body) = match call {
+        WorkerCall::List => return list_tasks(client, worker),
         WorkerCall::Lease { session, until_boottime_ms } => (
             "/v1/lease".to_owned(),
             json!({"session": session, "until_boottime_ms": until_boottime_ms}),
@@ -103,13 +103,13 @@
             json!({"session": session, "incarnation": incarnation}),
         ),
     };
-    let sent = client
+    let result = client
         .post(format!("http://{worker}{path}"))
         .config()
         .timeout_global(Some(WORKER_TIMEOUT))
         .build()
         .send(body.to_string().as_bytes());
-    match sent {
+    match result {
         Ok(response) if response.status().is_success() => WorkerResult::Done,
         Ok(mut response) => {
             let text = response.body_mut().read_to_string().unwrap_or_default();
@@ -119,18 +119,18 @@
     }
 }
 
-fn list(client: &Agent, worker: SocketAddr) -> WorkerResult {
-    let sent = client
+fn list_tasks(client: &Agent, worker: SocketAddr) -> WorkerResult {
+    let result = client
         .get(format!("http://{worker}/v1/tasks"))
         .config()
         .timeout_global(Some(WORKER_TIMEOUT))
         .build()
         .call();
-    let text = match sent {
+    let body = match result {
         Ok(mut response) => response.body_mut().with_config().limit(ANSWER_MAX_BYTES).read_to_vec(),
         Err(error) => return WorkerResult::Failed(format_compact!("{error}")),
     };
-    let report = text.map_err(|it| it.to_string());
+    let report = body.map_err(|it| it.to_string());
     let report = report
         .and_then(|it| serde_json::from_slice::<WorkerReport>(&it).map_err(|it| it.to_string()));
     report.map_or_else(|it| WorkerResult::Failed(it.into()), WorkerResult::Report)
--- a/src/http/local.rs
+++ b/src/http/local.rs
@@ -1,10 +1,10 @@
-//! The edge where a VM's endpoints announce themselves: docs/PLATFORM.md describes it.
+//! Requests of a VM's endpoints, which announce themselves to the agent; see docs/PLATFORM.md.
 
 use std::net::SocketAddr;
 
 use crate::{agent::Announcement, http::HttpRequest, prelude::*};
 
-/// What an endpoint says to its agent.
+/// A request of an endpoint to its agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LocalRequest {
     Announce(Announcement),
@@ -17,19 +17,19 @@
     address: SocketAddr,
 }
 
-/// Reads an endpoint's request.
+/// Parses an endpoint's request.
 ///
 /// # Errors
 ///
-/// Returns a refusal; nothing was begun then.
-pub fn parse(it: &HttpRequest) -> Result<LocalRequest, Refusal> {
-    match (it.method.as_str(), it.path.as_str()) {
-        ("POST", "/v1/announce") => Ok(LocalRequest::Announce(it.json()?)),
-        ("POST", "/v1/leave") => Ok(LocalRequest::Leave(it.json::<LeaveBody>()?.address)),
+/// Returns a refusal; the request then had no effect.
+pub fn parse(request: &HttpRequest) -> Result<LocalRequest, Refusal> {
+    match (request.method.as_str(), request.path.as_str()) {
+        ("POST", "/v1/announce") => Ok(LocalRequest::Announce(request.json()?)),
+        ("POST", "/v1/leave") => Ok(LocalRequest::Leave(request.json::<LeaveBody>()?.address)),
         (_, "/v1/announce" | "/v1/leave") => {
-            let detail = format_compact!("{} is not for {}", it.method, it.path);
+            let detail = format_compact!("{} is not for {}", request.method, request.path);
             Err(refusal(ErrorKind::MethodNotAllowed, detail))
         }
-        _ => Err(refusal(ErrorKind::NotFound, format_compact!("nothing is at {}", it.path))),
+        _ => Err(refusal(ErrorKind::NotFound, format_compact!("nothing is at {}", request.path))),
     }
 }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,7 +1,7 @@
-//! The HTTP edges: callers, operators, endpoints and workers.
+//! The HTTP interfaces to callers, operators, endpoints and workers.
 //!
-//! Each edge is a thin module that parses, checks, and hands a typed message to a core; another
-//! protocol detail costs one file here and nothing in the cores.
+//! Each interface is a thin module that parses and validates requests and passes typed messages to
+//! a core, so that a change of protocol affects one file here and none of the cores.
 
 pub mod admin;
 mod answer;
--- a/src/http/outgoing.rs
+++ b/src/http/outgoing.rs
@@ -1,4 +1,4 @@
-//! Calls over HTTP from a process with one thread: connections to one address, kept open.
+//! HTTP calls from a single-threaded process, over pooled connections to one address.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -13,10 +13,9 @@
 /// Largest answer accepted.
 const ANSWER_MAX_BYTES: usize = 16 * 1024 * 1024;
 
-/// Connections kept open while nothing is asked.
-const IDLE_MAX: usize = 8;
+/// Most idle connections that are kept open.
+const IDLE_CONNECTIONS_MAX: usize = 8;
 
-/// A request to be sent.
 #[derive(Clone, Debug)]
 pub struct HttpCall {
     pub method: &'static str,
@@ -26,23 +25,23 @@
     pub timeout_ms: u64,
 }
 
-/// What came back.
+/// The reply to an [`HttpCall`].
 #[derive(Clone, Debug)]
 pub struct HttpReply {
     pub status: u16,
     pub body: Bytes,
 }
 
-/// Why nothing came back.
+/// Why a call has no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutgoingError {
-    /// Nobody listens at the address; the request was not sent.
+    /// The connection was refused; the request was not sent.
     ConnectionRefused,
-    /// The request may have arrived.
+    /// No reply was received; the request may have arrived.
     NoAnswer,
 }
 
-/// Connections to one address, for use within one thread.
+/// A pool of connections to one address, for use within one thread.
 #[derive(Clone)]
 pub struct OutgoingPool {
     address: SocketAddr,
@@ -50,7 +49,7 @@
 }
 
 impl OutgoingPool {
-    /// Makes a pool without connections.
+    /// Creates a pool without connections.
     pub fn new(address: SocketAddr) -> OutgoingPool {
         OutgoingPool { address, idle: Rc::default() }
     }
@@ -59,12 +58,12 @@
     ///
     /// # Errors
     ///
-    /// Returns whether the request may have arrived.
+    /// Returns an error that says whether the request may have arrived.
     pub async fn call(&self, call: HttpCall) -> Result<HttpReply, OutgoingError> {
         let timeout = Duration::from_millis(call.timeout_ms);
-        let answered = tokio::time::timeout(timeout, self.call_untimed(call)).await;
-        // A connection whose answer did not come is dropped, so that a late one meets nobody.
-        answered.unwrap_or(Err(OutgoingError::NoAnswer))
+        let result = tokio::time::timeout(timeout, self.call_untimed(call)).await;
+        // A timeout drops the connection, so that a late reply cannot answer another request.
+        result.unwrap_or(Err(OutgoingError::NoAnswer))
     }
 
     async fn call_untimed(&self, call: HttpCall) -> Result<HttpReply, OutgoingError> {
@@ -89,7 +88,7 @@
         let body = Limited::new(response.into_body(), ANSWER_MAX_BYTES).collect().await;
         let body = body.map_err(|_| OutgoingError::NoAnswer)?.to_bytes();
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < IDLE_MAX {
+        if idle.len() < IDLE_CONNECTIONS_MAX {
             idle.push(sender);
         }
         Ok(HttpReply { status, body })
@@ -98,8 +97,8 @@
     fn take_idle(&self) -> Option<SendRequest<Full<Bytes>>> {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|it| !it.is_closed());
-        let at = idle.iter().rposition(SendRequest::is_ready)?;
-        Some(idle.remove(at))
+        let index = idle.iter().rposition(SendRequest::is_ready)?;
+        Some(idle.remove(index))
     }
 
     async fn connect(&self) -> Result<SendRequest<Full<Bytes>>, OutgoingError> {
@@ -107,7 +106,7 @@
             io::ErrorKind::ConnectionRefused => OutgoingError::ConnectionRefused,
             _ => OutgoingError::NoAnswer,
         })?;
-        // Without this a small request waits for a delayed acknowledgement.
+        // With Nagle's algorithm, a small request may wait for a delayed acknowledgement.
         let _ = tcp.set_nodelay(true);
         let (sender, connection) =
             handshake(TokioIo::new(tcp)).await.map_err(|_| OutgoingError::NoAnswer)?;
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,9 +1,8 @@
-//! The HTTP server behind every edge.
+//! The HTTP server behind every listener: `hyper`, on its own threads or on the current one.
 //!
-//! It is `hyper` on threads of its own. `tiny_http` served the first version and was measured:
-//! of 32 callers that connected at the same moment and kept their connections, up to 10 waited
-//! until another connection closed, since its connections share a pool of threads. DESIGN.md
-//! has the figures; tests/http_server.rs keeps the case.
+//! A server whose connections share a pool of threads, such as `tiny_http`, is unsuitable: of 32
+//! callers that connected at the same moment and kept their connections, up to 10 waited until
+//! another connection closed. DESIGN.md has the figures; tests/http_server.rs guards against it.
 
 use std::{
     collections::HashMap,
@@ -26,13 +25,13 @@
 
 use crate::{http::HttpAnswer, prelude::*};
 
-/// Bytes of a body too large that are read before its connection is closed.
+/// Most bytes of a too large body that are read before its connection is closed.
 const DISCARDED_MAX_BYTES: usize = 64 * 1024 * 1024;
 
-/// Time that a caller may take to send its headers, and then its body.
+/// Time limit for a caller to send its headers, and then its body.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a server is told by the settings.
+/// The options of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerOptions {
     pub listen: SocketAddr,
@@ -41,7 +40,7 @@
     pub headers_max_bytes: usize,
 }
 
-/// A request, read whole.
+/// A request that has been read completely.
 #[derive(Clone, Debug)]
 pub struct HttpRequest {
     pub method: CompactString,
@@ -55,32 +54,32 @@
 }
 
 impl HttpRequest {
-    /// Returns a header; its name is compared without regard to case.
+    /// Returns the value of a header; its name is case-insensitive.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Returns a number of the query.
+    /// Returns the number in a query parameter, by default `default`.
     ///
     /// # Errors
     ///
-    /// Returns a refusal that names the parameter when it is no number.
-    pub fn number(&self, name: &str, default: u64) -> Result<u64, Refusal> {
+    /// Returns a refusal that names the parameter if its value is not a whole number.
+    pub fn query_number(&self, name: &str, default: u64) -> Result<u64, Refusal> {
         let Some(text) = self.query.get(name) else { return Ok(default) };
-        let bad = |_| {
+        let invalid = |_| {
             refusal(
                 ErrorKind::BadRequest,
                 format_compact!("{name} is '{text}', not a whole number"),
             )
         };
-        text.parse().map_err(bad)
+        text.parse().map_err(invalid)
     }
 
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// Returns a refusal that says where the body is wrong.
+    /// Returns a refusal with the position and cause of the parse error.
     pub fn json<T: serde::de::DeserializeOwned>(&self) -> Result<T, Refusal> {
         serde_json::from_slice(&self.body).map_err(|it| {
             refusal(ErrorKind::BadRequest, format_compact!("the body is not as documented: {it}"))
@@ -90,7 +89,7 @@
 
 /// Requests that wait for their answer from a core.
 ///
-/// A held poll costs an entry here and its connection, no thread.
+/// A long poll occupies an entry here and its connection, but no thread.
 #[derive(Clone, Default)]
 pub struct Pending {
     inner: Arc<Inner>,
@@ -103,11 +102,11 @@
 }
 
 impl Pending {
-    /// Answers the request that has a token; a second answer changes nothing.
+    /// Answers the request with this token; a second answer has no effect.
     pub fn answer(&self, token: u64, answer: HttpAnswer) {
         let waiting = self.lock().remove(&token);
         if let Some(it) = waiting {
-            // Fails where the caller is gone; there is nobody left to tell.
+            // Fails if the caller has disconnected; the answer is then discarded.
             let _ = it.send(answer);
         }
     }
@@ -120,73 +119,79 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<u64, oneshot::Sender<HttpAnswer>>> {
-        // The table is whole at every unlock, also after a panic elsewhere.
+        // The table is consistent at every unlock, also after a panic.
         self.inner.answers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Starts a server; `handle` gets each request, or why it could not be read, with a token, and
-/// returns its answer or leaves it to be given later through `pending`. It runs on the server's threads and must not block.
+/// Starts a server on its own threads.
+///
+/// `handle` receives each request, or the reason why it could not be read, with a token. It returns
+/// the answer, or `None` if the answer is given later through `pending`. It runs on the server's
+/// threads and must not block.
 ///
 /// # Errors
 ///
-/// Returns an error when the address cannot be listened on.
+/// Returns an error if the server cannot listen on the address.
 pub fn start_server<H>(options: ServerOptions, pending: &Pending, handle: H) -> Result<()>
 where
     H: Fn(u64, Result<HttpRequest, Refusal>) -> Option<HttpAnswer> + Clone + Send + 'static,
 {
     let listener = listen(options.listen)?;
-    let cannot =
+    let listen_error =
         || Error::new(ErrorKind::Internal, format_compact!("cannot listen on {}", options.listen));
     for _ in 0..options.threads {
-        let listener = listener.try_clone().change_context_lazy(cannot)?;
+        let listener = listener.try_clone().change_context_lazy(listen_error)?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let runtime = runtime
-            .change_context_lazy(|| Error::new(ErrorKind::Internal, "cannot start a runtime"))?;
+        let runtime = runtime.change_context_lazy(|| {
+            Error::new(ErrorKind::Internal, "cannot start the runtime of an HTTP server")
+        })?;
         let (pending, handle) = (pending.clone(), handle.clone());
         let serve = move || {
             let local = tokio::task::LocalSet::new();
-            local.block_on(&runtime, accept(listener, options, pending, handle));
+            local.block_on(&runtime, accept_connections(listener, options, pending, handle));
         };
         let started = thread::Builder::new().name("http".to_owned()).spawn(serve);
-        started.change_context_lazy(|| Error::new(ErrorKind::Internal, "cannot start a thread"))?;
+        started.change_context_lazy(|| {
+            Error::new(ErrorKind::Internal, "cannot start a thread of an HTTP server")
+        })?;
     }
     Ok(())
 }
 
-/// Starts a server on the current thread, whose [`tokio::task::LocalSet`] carries it; otherwise as
-/// [`start_server`].
+/// Starts a server like [`start_server`], but as a task of the current [`tokio::task::LocalSet`].
 ///
 /// # Errors
 ///
-/// Returns an error when the address cannot be listened on.
+/// Returns an error if the server cannot listen on the address.
 ///
 /// # Panics
 ///
-/// Panics outside of a local set.
+/// Panics if called outside of a local set.
 pub fn start_local_server<H>(options: ServerOptions, pending: &Pending, handle: H) -> Result<()>
 where
     H: Fn(u64, Result<HttpRequest, Refusal>) -> Option<HttpAnswer> + Clone + 'static,
 {
     let listener = listen(options.listen)?;
-    tokio::task::spawn_local(accept(listener, options, pending.clone(), handle));
+    tokio::task::spawn_local(accept_connections(listener, options, pending.clone(), handle));
     Ok(())
 }
 
 fn listen(address: SocketAddr) -> Result<std::net::TcpListener> {
-    let cannot = || Error::new(ErrorKind::Internal, format_compact!("cannot listen on {address}"));
+    let listen_error =
+        || Error::new(ErrorKind::Internal, format_compact!("cannot listen on {address}"));
     let domain = socket2::Domain::for_address(address);
-    let socket =
-        socket2::Socket::new(domain, socket2::Type::STREAM, None).change_context_lazy(cannot)?;
-    // A process that restarts takes its address back at once.
-    socket.set_reuse_address(true).change_context_lazy(cannot)?;
-    socket.set_nonblocking(true).change_context_lazy(cannot)?;
-    socket.bind(&address.into()).change_context_lazy(cannot)?;
-    socket.listen(1024).change_context_lazy(cannot)?;
+    let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)
+        .change_context_lazy(listen_error)?;
+    // Lets a restarted process bind its address at once.
+    socket.set_reuse_address(true).change_context_lazy(listen_error)?;
+    socket.set_nonblocking(true).change_context_lazy(listen_error)?;
+    socket.bind(&address.into()).change_context_lazy(listen_error)?;
+    socket.listen(1024).change_context_lazy(listen_error)?;
     Ok(std::net::TcpListener::from(socket))
 }
 
-async fn accept<H>(
+async fn accept_connections<H>(
     listener: std::net::TcpListener,
     options: ServerOptions,
     pending: Pending,
@@ -202,21 +207,22 @@
         let tcp = match listener.accept().await {
             Ok((it, _)) => it,
             Err(error) => {
-                // Such as too many open files: it passes, and must not spin meanwhile.
+                // Errors such as too many open files are transient; the pause avoids a busy loop.
                 tracing::warn!(event = "http_accept_failed", %error);
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 continue;
             }
         };
-        // Without this an answer in two segments waits for a delayed acknowledgement.
+        // With Nagle's algorithm, an answer in two segments waits for a delayed acknowledgement.
         let _ = tcp.set_nodelay(true);
         let (pending, handle) = (pending.clone(), handle.clone());
-        let service =
-            service_fn(move |request| serve_one(request, options, pending.clone(), handle.clone()));
+        let service = service_fn(move |request| {
+            serve_request(request, options, pending.clone(), handle.clone())
+        });
         let connection = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(READ_TIMEOUT)
-            // The library's least is 8 KiB, and so is the setting's.
+            // The minimum of the library and of the setting is 8 KiB.
             .max_buf_size(options.headers_max_bytes.max(8 * 1024))
             .serve_connection(TokioIo::new(tcp), service);
         tokio::task::spawn_local(async move {
@@ -227,7 +233,7 @@
     }
 }
 
-async fn serve_one<H>(
+async fn serve_request<H>(
     request: Request<Incoming>,
     options: ServerOptions,
     pending: Pending,
@@ -237,7 +243,7 @@
     H: Fn(u64, Result<HttpRequest, Refusal>) -> Option<HttpAnswer>,
 {
     let request = read_request(request, options.body_max_bytes).await;
-    // Waited for before it is handled: the answer may come before the handler returns.
+    // Registered first, since the answer may arrive before the handler returns.
     let (token, answer) = pending.wait();
     if let Some(it) = handle(token, request) {
         pending.answer(token, it);
@@ -257,18 +263,19 @@
         Ok(it) => it?,
         Err(_) => return Err(refusal(ErrorKind::BadRequest, "the body did not arrive in time")),
     };
-    let pairs = head.uri.query().unwrap_or_default().split('&').filter_map(|it| it.split_once('='));
+    let query_pairs =
+        head.uri.query().unwrap_or_default().split('&').filter_map(|it| it.split_once('='));
     Ok(HttpRequest {
         method: head.method.as_str().into(),
         path: head.uri.path().into(),
         path_and_query: head.uri.path_and_query().map_or("/", |it| it.as_str()).into(),
-        query: pairs.map(|(name, value)| (name.into(), value.into())).collect(),
+        query: query_pairs.map(|(name, value)| (name.into(), value.into())).collect(),
         headers: head.headers,
         body,
     })
 }
 
-/// Reads a body; one that is too large is read to its end and thrown away, within bounds, since a
+/// Reads a body. A too large one is read and discarded up to [`DISCARDED_MAX_BYTES`], since a
 /// caller that is still sending would see a broken connection instead of the refusal.
 async fn read_body(mut body: Incoming, body_max_bytes: usize) -> Result<Vec<u8>, Refusal> {
     let mut res = Vec::new();
@@ -299,7 +306,7 @@
     let headers =
         answer.headers.into_iter().chain([("Content-Type", answer.content_type.to_string())]);
     for (name, value) in headers {
-        // A value that is no header text is left out; the answer itself must arrive.
+        // Invalid names and values are left out, so that the answer itself is sent.
         if let (Ok(name), Ok(value)) =
             (http::HeaderName::from_bytes(name.as_bytes()), value.parse())
         {
--- a/src/http/unescape.rs
+++ b/src/http/unescape.rs
@@ -1,21 +1,21 @@
-//! Text of a path, with its escapes read.
+//! Percent-decoding of URL paths.
 
 use crate::prelude::*;
 
-/// Returns a part of a path with `%` and two hexadecimal digits read as the byte they name, or
-/// nothing where an escape is cut short or the bytes are no UTF-8.
+/// Percent-decodes a part of a path; returns `None` if an escape is invalid or the result is not
+/// UTF-8.
 pub fn unescape(text: &str) -> Option<CompactString> {
     let mut bytes = Vec::with_capacity(text.len());
-    let mut rest = text.bytes();
-    while let Some(it) = rest.next() {
-        match it {
-            b'%' => bytes.push(digit(rest.next()?)? * 16 + digit(rest.next()?)?),
-            it => bytes.push(it),
+    let mut input = text.bytes();
+    while let Some(byte) = input.next() {
+        match byte {
+            b'%' => bytes.push(hex_digit(input.next()?)? * 16 + hex_digit(input.next()?)?),
+            byte => bytes.push(byte),
         }
     }
     CompactString::from_utf8(bytes).ok()
 }
 
-fn digit(it: u8) -> Option<u8> {
-    char::from(it).to_digit(16).map(|it| it as u8)
+fn hex_digit(byte: u8) -> Option<u8> {
+    char::from(byte).to_digit(16).map(|it| it as u8)
 }
--- a/src/runtime/adapters.rs
+++ b/src/runtime/adapters.rs
@@ -1,4 +1,4 @@
-//! What carries out the effects of the cores.
+//! Adapters that execute the effects of the cores.
 
 use std::{cell::RefCell, collections::VecDeque, net::SocketAddr, rc::Rc, sync::Arc};
 
@@ -15,7 +15,7 @@
     runtime::{disk::DiskWriter, process::Event, role::Adapter, thread_pool::ThreadPool},
 };
 
-/// Messages of this process to itself, which need no link.
+/// Messages of this process to itself, which bypass the links.
 pub(super) type Loopback = Rc<RefCell<VecDeque<Event>>>;
 
 /// The sending side of a process's links.
@@ -41,7 +41,7 @@
     }
 }
 
-/// Carries out an entry's effects.
+/// Executes an entry's effects.
 pub(super) struct EntryAdapter {
     pub sender: MessageSender,
     pub pending: Pending,
@@ -49,7 +49,7 @@
 }
 
 impl Adapter<EntryCore> for EntryAdapter {
-    fn carry(&mut self, effect: entry::Effect, in_force: Revision) {
+    fn execute(&mut self, effect: entry::Effect, in_force: Revision) {
         match effect {
             entry::Effect::Send { to, message } => self.sender.send(to, in_force, message),
             entry::Effect::Answer { token, answer } => {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Carries out an agent's effects.
+/// Executes an agent's effects.
 pub(super) struct AgentAdapter<W, E>
 where
     W: Fn(WorkerCall) + Send + Sync + 'static,
@@ -72,7 +72,7 @@
     pub sender: MessageSender,
     pub pending: Pending,
     pub metrics: Arc<Metrics>,
-    /// One thread, so that calls reach the worker in order.
+    /// A pool of one thread, so that calls reach the worker in order.
     pub worker: ThreadPool<WorkerCall, W>,
     pub executors: ThreadPool<ExecutorCall, E>,
 }
@@ -82,7 +82,7 @@
     W: Fn(WorkerCall) + Send + Sync + 'static,
     E: Fn(ExecutorCall) + Send + Sync + 'static,
 {
-    fn carry(&mut self, effect: agent::Effect, in_force: Revision) {
+    fn execute(&mut self, effect: agent::Effect, in_force: Revision) {
         match effect {
             agent::Effect::Send { to, message } => self.sender.send(to, in_force, message),
             agent::Effect::Worker(it) => self.worker.submit(it),
@@ -98,7 +98,7 @@
     }
 }
 
-/// Carries out a control member's effects.
+/// Executes a control member's effects.
 pub(super) struct ControlAdapter {
     pub sender: MessageSender,
     pub pending: Pending,
@@ -107,7 +107,7 @@
 }
 
 impl Adapter<ControlCore> for ControlAdapter {
-    fn carry(&mut self, effect: control::Effect, in_force: Revision) {
+    fn execute(&mut self, effect: control::Effect, in_force: Revision) {
         match effect {
             control::Effect::Send { to, message } => self.sender.send(to, in_force, message),
             control::Effect::Write { number, writes } => self.disk.submit(number, writes),
@@ -134,7 +134,7 @@
     }
 }
 
-/// Answers a request of an edge, and counts a refusal.
+/// Answers an HTTP request, and counts a refusal.
 fn answer(pending: &Pending, metrics: &Metrics, token: u64, outcome: &control::state::ReplyResult) {
     if let Err(it) = outcome {
         metrics.count_refusal(it.kind);
@@ -146,7 +146,7 @@
     pending.answer(token, answer);
 }
 
-/// Makes what calls a worker and posts how it ended.
+/// Returns a function that calls the worker and reports the result to the agent.
 pub(super) fn worker_caller(
     worker: SocketAddr,
     events: Sender<Event>,
@@ -158,7 +158,7 @@
     }
 }
 
-/// Makes what calls endpoints and posts how it ended.
+/// Returns a function that calls an endpoint and reports the result to the agent.
 pub(super) fn executor_caller(
     threads: usize,
     events: Sender<Event>,
--- a/src/runtime/disk.rs
+++ b/src/runtime/disk.rs
@@ -1,4 +1,4 @@
-//! The thread that makes a control member's writes durable.
+//! The thread that makes the writes of a control member durable.
 
 use std::{
     sync::Arc,
@@ -15,47 +15,47 @@
     prelude::*,
 };
 
-/// Pause in the writes after which the log is marked as durable up to here.
-const MARK_PAUSE: Duration = Duration::from_millis(200);
+/// Time without writes after which the log is marked as durable up to its end.
+const MARK_DELAY: Duration = Duration::from_millis(200);
 
-/// Interval at which free space is looked at.
-const SPACE_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which free space is checked.
+const SPACE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause between two tries of a write that the disk refuses.
-const REFUSED_PAUSE: Duration = Duration::from_millis(200);
+/// Time between two attempts of a write that the disk refuses.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time for which a disk may refuse writes before the process ends, so that somebody looks at it.
+/// Time for which a disk may refuse writes before the process exits to alert the operator.
 const REFUSED_MAX: Duration = Duration::from_secs(600);
 
 type Job = (u64, Vec<DiskWrite>);
 
-/// Takes in the word of the disk; called on its thread.
+/// Receives the results of the disk; called on the disk thread.
 pub(super) trait DiskSink: Send + 'static {
     /// All writes up to `number` are durable.
     fn persisted(&self, number: u64);
 
-    /// The free space is below or again above what new work needs.
+    /// Free space fell below the minimum for new work, or rose above it.
     fn space_changed(&self, is_full: bool);
 
-    /// The disk refuses what is written, or takes it again.
-    fn refusal_changed(&self, refuses: bool);
+    /// The disk began to refuse writes, or accepts them again.
+    fn refusal_changed(&self, is_refusing: bool);
 
-    /// The disk has refused what is written for too long.
+    /// The disk has refused writes for longer than [`REFUSED_MAX`].
     fn failed(&self, report: error_stack::Report<Error>);
 }
 
-/// The sending side of the disk's thread.
+/// The sending side of the disk thread.
 pub(super) struct DiskWriter {
     jobs: Option<Sender<Job>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl DiskWriter {
-    /// Starts the thread.
+    /// Starts the disk thread.
     ///
     /// # Errors
     ///
-    /// Returns an error when it cannot be started.
+    /// Returns an error if the thread cannot be started.
     pub(super) fn start<S: DiskSink>(
         disk: Disk,
         metrics: Arc<Metrics>,
@@ -64,16 +64,16 @@
         let (jobs, receiver) = crossbeam_channel::unbounded();
         let thread = thread::Builder::new()
             .name("disk".to_owned())
-            .spawn(move || write_all(disk, &receiver, &metrics, &sink))
+            .spawn(move || run_disk_thread(disk, &receiver, &metrics, &sink))
             .change_context_lazy(|| {
-                Error::new(ErrorKind::Internal, "cannot start the disk's thread")
+                Error::new(ErrorKind::Internal, "cannot start the disk thread")
             })?;
         Ok(DiskWriter { jobs: Some(jobs), thread: Some(thread) })
     }
 
     pub(super) fn submit(&self, number: u64, writes: Vec<DiskWrite>) {
         if let Some(it) = &self.jobs {
-            // Fails only after the thread has reported why it ended.
+            // Fails only after the disk thread has reported its error and ended.
             let _ = it.send((number, writes));
         }
     }
@@ -83,19 +83,19 @@
     fn drop(&mut self) {
         self.jobs = None;
         if let Some(it) = self.thread.take() {
-            // Its panic would have been printed; there is nothing else to do about it here.
+            // A panic of the thread has already been printed.
             let _ = it.join();
         }
     }
 }
 
-fn write_all<S: DiskSink>(mut disk: Disk, jobs: &Receiver<Job>, metrics: &Metrics, sink: &S) {
-    let mut marked = true;
+fn run_disk_thread<S: DiskSink>(mut disk: Disk, jobs: &Receiver<Job>, metrics: &Metrics, sink: &S) {
+    let mut is_marked = true;
     let mut was_full = false;
-    let mut looked: Option<Instant> = None;
+    let mut last_space_check: Option<Instant> = None;
     loop {
-        if looked.is_none_or(|it| SPACE_INTERVAL < it.elapsed()) {
-            looked = Some(Instant::now());
+        if last_space_check.is_none_or(|it| SPACE_CHECK_INTERVAL < it.elapsed()) {
+            last_space_check = Some(Instant::now());
             let is_full = disk.is_full();
             if is_full != was_full {
                 tracing::warn!(event = "disk_space", is_full);
@@ -104,14 +104,14 @@
             was_full = is_full;
         }
         let (mut number, mut writes) =
-            match jobs.recv_timeout(if marked { SPACE_INTERVAL } else { MARK_PAUSE }) {
+            match jobs.recv_timeout(if is_marked { SPACE_CHECK_INTERVAL } else { MARK_DELAY }) {
                 Ok(it) => it,
-                Err(RecvTimeoutError::Timeout) if marked => continue,
+                Err(RecvTimeoutError::Timeout) if is_marked => continue,
                 Err(RecvTimeoutError::Timeout) => {
-                    marked = true;
+                    is_marked = true;
                     let Err(report) = disk.write_durability_mark() else { continue };
-                    let mut refused = Refused::new(Vec::new(), 0, report);
-                    match refused.write(&mut disk, jobs, sink) {
+                    let mut refused = RefusedWrites::new(Vec::new(), 0, report);
+                    match refused.retry_until_durable(&mut disk, jobs, sink) {
                         Ok(()) if refused.number == 0 => continue,
                         Ok(()) => {
                             sink.persisted(refused.number);
@@ -127,7 +127,7 @@
                     return;
                 }
             };
-        // Whatever gathered during the last sync shares the next one.
+        // Group commit: writes queued during the last sync share the next one.
         while let Ok((next, more)) = jobs.try_recv() {
             number = next;
             writes.extend(more);
@@ -135,10 +135,10 @@
         }
         metrics.disk_writes.inc();
         metrics.disk_syncs.inc();
-        marked = false;
+        is_marked = false;
         if let Err(report) = disk.write(&writes) {
-            let mut refused = Refused::new(writes, number, report);
-            if let Err(report) = refused.write(&mut disk, jobs, sink) {
+            let mut refused = RefusedWrites::new(writes, number, report);
+            if let Err(report) = refused.retry_until_durable(&mut disk, jobs, sink) {
                 return sink.failed(report);
             }
             number = refused.number;
@@ -149,39 +149,43 @@
 
 /// Writes that the disk has refused.
 ///
-/// They are tried again until it takes them: a full disk is a matter of minutes, and a process that
-/// ends for it starts into the same wall. Nothing of them was promised to anybody meanwhile.
-struct Refused {
+/// They are retried until they succeed: a full disk usually lasts minutes, and a process that
+/// exited would find the disk still full after its restart. Until then no write is acknowledged.
+struct RefusedWrites {
     writes: Vec<DiskWrite>,
-    /// Number of the newest of them.
+    /// Number of the newest write.
     number: u64,
     report: error_stack::Report<Error>,
 }
 
-impl Refused {
-    fn new(writes: Vec<DiskWrite>, number: u64, report: error_stack::Report<Error>) -> Refused {
-        Refused { writes, number, report }
+impl RefusedWrites {
+    fn new(
+        writes: Vec<DiskWrite>,
+        number: u64,
+        report: error_stack::Report<Error>,
+    ) -> RefusedWrites {
+        RefusedWrites { writes, number, report }
     }
 
-    /// Tries until all is durable, with what comes meanwhile.
+    /// Retries until all writes are durable, including those submitted meanwhile.
     ///
     /// # Errors
     ///
-    /// Returns the last error when the disk refuses for too long, or the process ends.
-    fn write<S: DiskSink>(
+    /// Returns the last error after [`REFUSED_MAX`], or when the process ends.
+    fn retry_until_durable<S: DiskSink>(
         &mut self,
         disk: &mut Disk,
         jobs: &Receiver<Job>,
         sink: &S,
     ) -> std::result::Result<(), error_stack::Report<Error>> {
-        let began = Instant::now();
+        let refused_since = Instant::now();
         self.writes.drain(..disk.durable_write_count());
         tracing::error!(event = "disk_writes_refused", error = %format_args!("{:#}", self.report), writes = self.writes.len());
         sink.refusal_changed(true);
         let mut tries = 0_u32;
         loop {
-            thread::sleep(REFUSED_PAUSE);
-            let is_over = loop {
+            thread::sleep(RETRY_INTERVAL);
+            let is_process_ending = loop {
                 match jobs.try_recv() {
                     Ok((number, more)) => {
                         self.number = number;
@@ -191,16 +195,16 @@
                 }
             };
             tries += 1;
-            let written = disk.retry_write(&self.writes);
+            let result = disk.retry_write(&self.writes);
             self.writes.drain(..disk.durable_write_count());
-            let Err(report) = written else { break };
-            if is_over || REFUSED_MAX < began.elapsed() {
+            let Err(report) = result else { break };
+            if is_process_ending || REFUSED_MAX < refused_since.elapsed() {
                 return Err(report);
             }
         }
         tracing::warn!(
             event = "disk_writes_resumed",
-            after_ms = began.elapsed().as_millis() as u64,
+            after_ms = refused_since.elapsed().as_millis() as u64,
             tries
         );
         sink.refusal_changed(false);
--- a/src/runtime/http_listeners.rs
+++ b/src/runtime/http_listeners.rs
@@ -1,4 +1,4 @@
-//! The HTTP edges of a process, each a function from a request to an event for its core.
+//! The HTTP listeners of a process: each turns requests into events for a core.
 
 use std::{path::Path, sync::Arc};
 
@@ -17,19 +17,19 @@
     util::Clock,
 };
 
-/// Threads of the edges that few use.
+/// Threads of a listener that gets few requests.
 const SMALL_THREADS: usize = 4;
 
 /// Largest body of an operator's or an endpoint's request.
 const SMALL_BODY_BYTES: usize = 256 * 1024;
 
-/// Largest headers of such a request.
+/// Largest headers of an operator's or an endpoint's request.
 const SMALL_HEADERS_BYTES: usize = 16 * 1024;
 
 /// Longest time that an operator's request waits for the leader.
-const ADMIN_MAX_MS: u64 = 8_000;
+const ADMIN_WAIT_MAX_MS: u64 = 8_000;
 
-/// What every edge needs.
+/// The parts that all listeners share.
 #[derive(Clone)]
 pub(super) struct HttpListener {
     pub events: Sender<Event>,
@@ -39,16 +39,19 @@
 }
 
 impl HttpListener {
-    /// Answers what every edge answers alike, and hands on the rest.
-    fn take(&self, request: Result<HttpRequest, Refusal>) -> Result<HttpRequest, HttpAnswer> {
-        let it = match request {
+    /// Answers unreadable requests and the paths common to all listeners; returns other requests.
+    fn answer_common(
+        &self,
+        request: Result<HttpRequest, Refusal>,
+    ) -> Result<HttpRequest, HttpAnswer> {
+        let request = match request {
             Ok(it) => it,
             Err(it) => {
                 self.metrics.count_refusal(it.kind);
                 return Err(HttpAnswer::refusal(&it));
             }
         };
-        match (it.method.as_str(), it.path.as_str()) {
+        match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/healthz") if self.status.is_ready() => {
                 Err(HttpAnswer::text(200, "text/plain", "ok\n".into()))
             }
@@ -56,27 +59,27 @@
             ("GET", "/metrics") => {
                 Err(HttpAnswer::text(200, "text/plain; version=0.0.4", self.metrics.render()))
             }
-            _ => Ok(it),
+            _ => Ok(request),
         }
     }
 
-    fn refuse(&self, it: &Refusal) -> Option<HttpAnswer> {
-        self.metrics.count_refusal(it.kind);
-        Some(HttpAnswer::refusal(it))
+    fn refuse(&self, refusal: &Refusal) -> Option<HttpAnswer> {
+        self.metrics.count_refusal(refusal.kind);
+        Some(HttpAnswer::refusal(refusal))
     }
 
-    fn post(&self, event: Event) -> Option<HttpAnswer> {
+    fn send_event(&self, event: Event) -> Option<HttpAnswer> {
         match self.events.send(event) {
             Ok(()) => None,
             Err(_) => self.refuse(&refusal(ErrorKind::ShuttingDown, "this process is ending")),
         }
     }
 
-    /// Starts the callers' edge.
+    /// Starts the listener for callers.
     ///
     /// # Errors
     ///
-    /// Returns an error when the tokens cannot be read or the address cannot be listened on.
+    /// Returns an error if the tokens cannot be read or the server cannot listen on the address.
     pub(super) fn start_caller(self, settings: &EntrySettings) -> Result<()> {
         let tokens = Arc::new(Tokens::load(Path::new(settings.teams_file.as_str()))?);
         let options = ServerOptions {
@@ -86,71 +89,73 @@
             headers_max_bytes: settings.headers_max_bytes as usize,
         };
         let pending = self.pending.clone();
-        start_server(options, &pending, move |token, it| {
-            let it = match self.take(it) {
+        start_server(options, &pending, move |token, request| {
+            let http_request = match self.answer_common(request) {
                 Ok(it) => it,
                 Err(answer) => return Some(answer),
             };
-            match http::caller::parse(&tokens, &it) {
-                Ok((team, request)) => self.post(Event::Entry(Box::new(entry::Input::Request {
-                    token,
-                    team,
-                    request,
-                }))),
+            match http::caller::parse(&tokens, &http_request) {
+                Ok((team, request)) => {
+                    self.send_event(Event::Entry(Box::new(entry::Input::Request {
+                        token,
+                        team,
+                        request,
+                    })))
+                }
                 Err(it) => self.refuse(&it),
             }
         })
     }
 
-    /// Starts the operators' edge.
+    /// Starts the listener for operators.
     ///
     /// # Errors
     ///
-    /// As [`HttpListener::start_caller`].
+    /// The same as for [`HttpListener::start_caller`].
     pub(super) fn start_admin(self, settings: &ControlSettings) -> Result<()> {
         let tokens = Arc::new(Tokens::load(Path::new(settings.operators_file.as_str()))?);
         let pending = self.pending.clone();
-        start_server(small(settings.listen), &pending, move |token, it| {
-            let it = match self.take(it) {
+        start_server(small_server_options(settings.listen), &pending, move |token, request| {
+            let http_request = match self.answer_common(request) {
                 Ok(it) => it,
                 Err(answer) => return Some(answer),
             };
-            match http::admin::parse(&tokens, &it) {
+            match http::admin::parse(&tokens, &http_request) {
                 Ok(operation) => {
-                    let deadline_ms = Clock.now().mono_ms + ADMIN_MAX_MS;
+                    let deadline_ms = Clock.now().mono_ms + ADMIN_WAIT_MAX_MS;
                     let input = control::Input::Operation { token, operation, deadline_ms };
-                    self.post(Event::Control(Box::new(input)))
+                    self.send_event(Event::Control(Box::new(input)))
                 }
                 Err(it) => self.refuse(&it),
             }
         })
     }
 
-    /// Starts the edge for the VM's endpoints.
+    /// Starts the listener for the VM's endpoints.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address cannot be listened on.
+    /// Returns an error if the server cannot listen on the address.
     pub(super) fn start_local(self, settings: &AgentSettings) -> Result<()> {
         let pending = self.pending.clone();
-        start_server(small(settings.listen), &pending, move |token, it| {
-            let it = match self.take(it) {
+        start_server(small_server_options(settings.listen), &pending, move |token, request| {
+            let http_request = match self.answer_common(request) {
                 Ok(it) => it,
                 Err(answer) => return Some(answer),
             };
-            let input = match http::local::parse(&it) {
+            let input = match http::local::parse(&http_request) {
                 Ok(LocalRequest::Announce(announcement)) => {
                     agent::Input::Announce { token, announcement }
                 }
                 Ok(LocalRequest::Leave(address)) => agent::Input::Leave { token, address },
                 Err(it) => return self.refuse(&it),
             };
-            self.post(Event::Agent(Box::new(input)))
+            self.send_event(Event::Agent(Box::new(input)))
         })
     }
 }
 
-fn small(listen: std::net::SocketAddr) -> ServerOptions {
+fn small_server_options(listen: std::net::SocketAddr) -> ServerOptions {
     ServerOptions {
         listen,
         threads: SMALL_THREADS,
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,7 +1,8 @@
-//! A process of the system: cores as actors, and the adapters that do their I/O.
+//! The process runtime: cores as actors, and the adapters that do their I/O.
 //!
-//! One `stakker` thread holds all decision state and never blocks. Every link, disk and HTTP edge
-//! is an adapter on threads of its own, with a bounded queue to the core's thread.
+//! One `stakker` thread holds all decision state and never blocks. Every link, disk and HTTP
+//! listener runs on its own threads and sends events to the core thread through a bounded queue.
+//! [`SingleThreadedProcess`] runs all but the disk on one thread.
 
 mod adapters;
 mod disk;
--- a/src/runtime/process.rs
+++ b/src/runtime/process.rs
@@ -1,4 +1,4 @@
-//! One process: its actors, its adapters and the loop between them.
+//! One process: its actors, its adapters and its event loop.
 
 use std::{
     cell::RefCell,
@@ -37,22 +37,22 @@
     util::{Clock, Place},
 };
 
-/// Events that wait for the core's thread; the adapters block beyond them.
+/// Capacity of the event queue to the core thread; adapters block while it is full.
 const EVENTS_MAX: usize = 16 * 1024;
 
-/// Events taken in before the actors run.
-const BATCH: usize = 256;
+/// Most queued events that are dispatched before the actors run.
+const BATCH_EVENTS_MAX: usize = 256;
 
 /// Longest wait for an event.
 const WAIT_MAX: Duration = Duration::from_secs(1);
 
-/// Interval at which a stopping process looks whether it may end.
-const STOP_LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a stopping process checks whether it can exit.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Shortest time of a planned stop, in which the balancer's probe sees it.
+/// Shortest duration of a planned stop, so that the load balancer's probe detects it.
 const STOP_MIN: Duration = Duration::from_millis(500);
 
-/// What the core's thread is told.
+/// An event for the core thread.
 #[derive(Debug)]
 pub enum Event {
     Link(LinkEvent),
@@ -63,24 +63,24 @@
     DiskFull(bool),
     DiskWritesRefused(bool),
     DiskFailed(error_stack::Report<Error>),
-    /// A planned stop.
+    /// Begins a planned stop.
     Stop,
-    /// The end, at once.
+    /// Exits at once.
     Kill,
 }
 
-/// How a process ended.
+/// Why a process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitReason {
-    /// Everything in flight had ended.
+    /// A planned stop completed with no work in flight.
     Drained,
-    /// The longest time of a planned stop was over, or a second signal came.
+    /// A planned stop exceeded `drain_max_ms`, or a second signal arrived.
     CutOff,
-    /// It could not go on; the log says why.
+    /// A core or the disk failed; the log has the error.
     Failed,
 }
 
-/// Tells a running process to stop.
+/// Stops a running process.
 #[derive(Clone, Debug)]
 pub struct ProcessHandle {
     events: Sender<Event>,
@@ -106,8 +106,8 @@
     receiver: Receiver<Event>,
 }
 
-type EntryOwn = ActorOwn<RoleActor<EntryCore, EntryAdapter>>;
-type ControlOwn = ActorOwn<RoleActor<ControlCore, ControlAdapter>>;
+type EntryActor = ActorOwn<RoleActor<EntryCore, EntryAdapter>>;
+type ControlActor = ActorOwn<RoleActor<ControlCore, ControlAdapter>>;
 
 /// The actors of a process.
 struct Actors<W, E>
@@ -115,18 +115,18 @@
     W: Fn(agent::WorkerCall) + Send + Sync + 'static,
     E: Fn(agent::ExecutorCall) + Send + Sync + 'static,
 {
-    entry: Option<EntryOwn>,
+    entry: Option<EntryActor>,
     agent: Option<ActorOwn<RoleActor<AgentCore, AgentAdapter<W, E>>>>,
-    control: Option<ControlOwn>,
+    control: Option<ControlActor>,
     statuses: Vec<Arc<RoleStatus>>,
 }
 
 #[derive(Clone)]
-struct Sink {
+struct LinkEventSender {
     events: Sender<Event>,
 }
 
-impl LinkSink for Sink {
+impl LinkSink for LinkEventSender {
     fn on_event(&self, event: LinkEvent) {
         let _ = self.events.send(Event::Link(event));
     }
@@ -141,8 +141,8 @@
         let _ = self.send(Event::DiskFull(is_full));
     }
 
-    fn refusal_changed(&self, refuses: bool) {
-        let _ = self.send(Event::DiskWritesRefused(refuses));
+    fn refusal_changed(&self, is_refusing: bool) {
+        let _ = self.send(Event::DiskWritesRefused(is_refusing));
     }
 
     fn failed(&self, report: error_stack::Report<Error>) {
@@ -151,14 +151,14 @@
 }
 
 impl Process {
-    /// Makes a process from checked settings.
+    /// Creates a process from validated settings.
     pub fn new(settings: Settings) -> Process {
         crate::util::set_clock_ahead(settings.process.clock_ahead_ms.into());
         let (events, receiver) = crossbeam_channel::bounded(EVENTS_MAX);
         Process { settings, metrics: Metrics::new(), events, receiver }
     }
 
-    /// Returns a handle to stop it by.
+    /// Returns a handle that stops the process.
     pub fn handle(&self) -> ProcessHandle {
         ProcessHandle { events: self.events.clone() }
     }
@@ -167,17 +167,20 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when it cannot start.
+    /// Returns an error if the process cannot start.
     pub fn run(self) -> Result<ExitReason> {
         let process = &self.settings.process;
-        // What a control member kept is read before anything is listened on.
+        // A control member recovers its stored state before any listener starts.
         let disk = match &self.settings.control {
             Some(it) => Some(self.open_disk(it)?),
             None => None,
         };
         let options = LinkOptions::new(&self.settings);
-        let link =
-            Link::start(options, self.metrics.clone(), Sink { events: self.events.clone() })?;
+        let link = Link::start(
+            options,
+            self.metrics.clone(),
+            LinkEventSender { events: self.events.clone() },
+        )?;
         let loopback: Loopback = Rc::new(RefCell::new(VecDeque::new()));
         let sender = MessageSender {
             link,
@@ -187,9 +190,9 @@
         let mut stakker = Stakker::new(Instant::now());
         let actors = self.start_roles(&mut stakker, disk, &sender)?;
         tracing::info!(event = "started", process = %process.name, zone = %process.zone, link = %self.settings.link.listen);
-        let ending = self.turn(&mut stakker, &actors, &loopback);
-        tracing::info!(event = "ended", process = %process.name, ending = ?ending);
-        Ok(ending)
+        let exit_reason = self.run_event_loop(&mut stakker, &actors, &loopback);
+        tracing::info!(event = "ended", process = %process.name, ending = ?exit_reason);
+        Ok(exit_reason)
     }
 
     fn open_disk(&self, settings: &crate::schema::settings::ControlSettings) -> Result<OpenDisk> {
@@ -221,7 +224,7 @@
         >,
     > {
         let mut statuses = Vec::new();
-        let mut edge = || {
+        let mut new_listener = || {
             let status = Arc::new(RoleStatus::default());
             statuses.push(status.clone());
             HttpListener {
@@ -235,11 +238,11 @@
         let link = &self.settings.link;
         let metrics = &self.metrics;
         let control = match (&self.settings.control, disk) {
-            (Some(settings), Some(it)) => {
-                let edge = edge();
+            (Some(settings), Some(open_disk)) => {
+                let listener = new_listener();
                 let options = ControlOptions {
-                    group_id: it.identity.group_id,
-                    member: it.identity.member,
+                    group_id: open_disk.identity.group_id,
+                    member: open_disk.identity.member,
                     address: link.listen,
                     control_addresses: link.control.clone(),
                     settings: settings.clone(),
@@ -249,20 +252,20 @@
                 };
                 let adapter = ControlAdapter {
                     sender: sender.clone(),
-                    pending: edge.pending.clone(),
+                    pending: listener.pending.clone(),
                     metrics: metrics.clone(),
-                    disk: DiskWriter::start(it.disk, metrics.clone(), self.events.clone())?,
+                    disk: DiskWriter::start(open_disk.disk, metrics.clone(), self.events.clone())?,
                 };
-                let core = ControlCore::new(options, it.recovered, Clock.now())?;
-                let status = edge.status.clone();
-                edge.start_admin(settings)?;
+                let core = ControlCore::new(options, open_disk.recovered, Clock.now())?;
+                let status = listener.status.clone();
+                listener.start_admin(settings)?;
                 Some(start_actor(stakker, core, adapter, status))
             }
             _ => None,
         };
         let agent = match &self.settings.agent {
             Some(settings) => {
-                let edge = edge();
+                let listener = new_listener();
                 let options = AgentOptions {
                     address: link.listen,
                     control_addresses: link.control.clone(),
@@ -274,7 +277,7 @@
                 let threads = settings.threads as usize;
                 let adapter = AgentAdapter {
                     sender: sender.clone(),
-                    pending: edge.pending.clone(),
+                    pending: listener.pending.clone(),
                     metrics: metrics.clone(),
                     worker: ThreadPool::new(1, worker_caller(settings.worker, self.events.clone())),
                     executors: ThreadPool::new(
@@ -283,15 +286,15 @@
                     ),
                 };
                 let core = AgentCore::new(options, metrics.clone());
-                let status = edge.status.clone();
-                edge.start_local(settings)?;
+                let status = listener.status.clone();
+                listener.start_local(settings)?;
                 Some(start_actor(stakker, core, adapter, status))
             }
             None => None,
         };
         let entry = match &self.settings.entry {
             Some(settings) => {
-                let edge = edge();
+                let listener = new_listener();
                 let options = EntryOptions {
                     name: process.name.clone(),
                     zone: process.zone.clone(),
@@ -302,12 +305,12 @@
                 };
                 let adapter = EntryAdapter {
                     sender: sender.clone(),
-                    pending: edge.pending.clone(),
+                    pending: listener.pending.clone(),
                     metrics: metrics.clone(),
                 };
                 let core = EntryCore::new(options, metrics.clone());
-                let status = edge.status.clone();
-                edge.start_caller(settings)?;
+                let status = listener.status.clone();
+                listener.start_caller(settings)?;
                 Some(start_actor(stakker, core, adapter, status))
             }
             None => None,
@@ -315,8 +318,8 @@
         Ok(Actors { entry, agent, control, statuses })
     }
 
-    /// Takes in events and lets the actors run, until the process ends.
-    fn turn<W, E>(
+    /// Dispatches events and runs the actors until the process ends.
+    fn run_event_loop<W, E>(
         &self,
         stakker: &mut Stakker,
         actors: &Actors<W, E>,
@@ -326,38 +329,38 @@
         W: Fn(agent::WorkerCall) + Send + Sync + 'static,
         E: Fn(agent::ExecutorCall) + Send + Sync + 'static,
     {
-        let mut stopping: Option<Instant> = None;
+        let mut stopping_since: Option<Instant> = None;
         stakker.run(Instant::now(), false);
         while stakker.not_shutdown() {
-            let longest = if stopping.is_some() { STOP_LOOK } else { WAIT_MAX };
+            let wait_max = if stopping_since.is_some() { STOP_CHECK_INTERVAL } else { WAIT_MAX };
             let wait = match loopback.borrow().is_empty() {
-                true => stakker.next_wait_max(Instant::now(), longest, false),
+                true => stakker.next_wait_max(Instant::now(), wait_max, false),
                 false => Duration::ZERO,
             };
-            let first = self.receiver.recv_timeout(wait).ok();
-            let rest = self.receiver.try_iter().take(BATCH);
-            let local = std::mem::take(&mut *loopback.borrow_mut());
-            for event in first.into_iter().chain(rest).chain(local) {
+            let first_event = self.receiver.recv_timeout(wait).ok();
+            let more_events = self.receiver.try_iter().take(BATCH_EVENTS_MAX);
+            let loopback_events = std::mem::take(&mut *loopback.borrow_mut());
+            for event in first_event.into_iter().chain(more_events).chain(loopback_events) {
                 match event {
                     Event::Kill => return ExitReason::CutOff,
                     Event::DiskFailed(report) => {
-                        // What the disk holds is not known; only a restart reads it back.
+                        // The content of the disk is unknown; only a restart reads it back.
                         tracing::error!(event = "disk_failed", error = %format_args!("{report:#}"));
                         return ExitReason::Failed;
                     }
                     Event::Stop => {
-                        stopping.get_or_insert_with(Instant::now);
+                        stopping_since.get_or_insert_with(Instant::now);
                         actors.stop();
                     }
                     it => actors.dispatch(it),
                 }
             }
             stakker.run(Instant::now(), false);
-            let Some(since) = stopping else { continue };
+            let Some(stop_start) = stopping_since else { continue };
             let drain_max = Duration::from_millis(self.settings.process.drain_max_ms.into());
-            let drained = actors.statuses.iter().all(|it| it.is_drained());
-            match since.elapsed() {
-                elapsed if drained && STOP_MIN <= elapsed => return ExitReason::Drained,
+            let is_drained = actors.statuses.iter().all(|it| it.is_drained());
+            match stop_start.elapsed() {
+                elapsed if is_drained && STOP_MIN <= elapsed => return ExitReason::Drained,
                 elapsed if drain_max <= elapsed => return ExitReason::CutOff,
                 _ => (),
             }
@@ -381,19 +384,21 @@
         match event {
             Event::Link(LinkEvent::Message { from, envelope }) => self.deliver(from, *envelope),
             Event::Link(LinkEvent::ConnectionLost { peer }) => {
-                self.to_entry(entry::Input::LinkLost { peer })
+                self.send_to_entry(entry::Input::LinkLost { peer })
+            }
+            Event::Entry(it) => self.send_to_entry(*it),
+            Event::Agent(it) => self.send_to_agent(*it),
+            Event::Control(it) => self.send_to_control(*it),
+            Event::Persisted(number) => self.send_to_control(control::Input::Persisted { number }),
+            Event::DiskFull(it) => self.send_to_control(control::Input::DiskFull(it)),
+            Event::DiskWritesRefused(it) => {
+                self.send_to_control(control::Input::DiskWritesRefused(it))
             }
-            Event::Entry(it) => self.to_entry(*it),
-            Event::Agent(it) => self.to_agent(*it),
-            Event::Control(it) => self.to_control(*it),
-            Event::Persisted(number) => self.to_control(control::Input::Persisted { number }),
-            Event::DiskFull(it) => self.to_control(control::Input::DiskFull(it)),
-            Event::DiskWritesRefused(it) => self.to_control(control::Input::DiskWritesRefused(it)),
             Event::DiskFailed(_) | Event::Stop | Event::Kill => (),
         }
     }
 
-    /// Hands a message to the roles that it is for.
+    /// Passes a message to the roles that it is addressed to.
     fn deliver(&self, from: std::net::SocketAddr, envelope: Envelope) {
         let Envelope { in_force, message } = envelope;
         match &message {
@@ -403,57 +408,61 @@
             | Message::EntryHeartbeat(_)
             | Message::WorkflowCall(_)
             | Message::NodeReport(_)
-            | Message::Join(_) => self.to_control(control::Input::Message { from, message }),
+            | Message::Join(_) => self.send_to_control(control::Input::Message { from, message }),
             Message::ConfigFetch(_) if self.control.is_some() => {
-                self.to_control(control::Input::Message { from, message })
+                self.send_to_control(control::Input::Message { from, message })
             }
             Message::ConfigFetch(_) if self.entry.is_some() => {
-                self.to_entry(entry::Input::Message { from, in_force, message })
+                self.send_to_entry(entry::Input::Message { from, in_force, message })
             }
             Message::Execute(_)
             | Message::OutcomeQuery(_)
             | Message::AgentHeartbeatReply(_)
             | Message::AgentOrders(_)
             | Message::ConfigFetch(_) => {
-                self.to_agent(agent::Input::Message { from, in_force, message })
+                self.send_to_agent(agent::Input::Message { from, in_force, message })
             }
             Message::ExecuteReply(_)
             | Message::EndpointLeaving(_)
             | Message::EntryHeartbeatReply(_) => {
-                self.to_entry(entry::Input::Message { from, in_force, message })
+                self.send_to_entry(entry::Input::Message { from, in_force, message })
             }
-            // Their roles run in processes of their own kind.
+            // Their recipients, gateways and nodes, run in single-threaded processes.
             Message::WorkflowAnswer(_) | Message::NodeGrant(_) => (),
-            // Each role knows its own by the id, and passes over the others'.
+            // Each role recognizes its own messages by their ids and ignores the others.
             Message::ControlReply(_) | Message::NotLeader(_) | Message::ConfigUpdate(_) => {
-                self.to_control(control::Input::Message { from, message: message.clone() });
-                self.to_agent(agent::Input::Message { from, in_force, message: message.clone() });
-                self.to_entry(entry::Input::Message { from, in_force, message });
+                self.send_to_control(control::Input::Message { from, message: message.clone() });
+                self.send_to_agent(agent::Input::Message {
+                    from,
+                    in_force,
+                    message: message.clone(),
+                });
+                self.send_to_entry(entry::Input::Message { from, in_force, message });
             }
         }
     }
 
     fn stop(&self) {
-        self.to_entry(entry::Input::Stop);
-        self.to_agent(agent::Input::Stop);
-        self.to_control(control::Input::Stop);
+        self.send_to_entry(entry::Input::Stop);
+        self.send_to_agent(agent::Input::Stop);
+        self.send_to_control(control::Input::Stop);
     }
 
-    fn to_entry(&self, input: entry::Input) {
+    fn send_to_entry(&self, input: entry::Input) {
         if let Some(it) = &self.entry {
-            call!([it], input(input));
+            call!([it], handle_input(input));
         }
     }
 
-    fn to_agent(&self, input: agent::Input) {
+    fn send_to_agent(&self, input: agent::Input) {
         if let Some(it) = &self.agent {
-            call!([it], input(input));
+            call!([it], handle_input(input));
         }
     }
 
-    fn to_control(&self, input: control::Input) {
+    fn send_to_control(&self, input: control::Input) {
         if let Some(it) = &self.control {
-            call!([it], input(input));
+            call!([it], handle_input(input));
         }
     }
 }
--- a/src/runtime/role.rs
+++ b/src/runtime/role.rs
@@ -1,4 +1,4 @@
-//! One role as an actor.
+//! Runs a role's core as an actor.
 
 use std::{
     sync::{
@@ -20,22 +20,22 @@
     util::Clock,
 };
 
-/// Longest pause between two ticks, so that a wrong estimate heals.
-const TICK_MAX_MS: u64 = 1_000;
+/// Longest time between ticks; bounds the effect of a wrong estimate of the next one.
+const TICK_INTERVAL_MAX_MS: u64 = 1_000;
 
-/// A core as the runtime drives it.
+/// A core as driven by the runtime.
 pub(super) trait RoleCore: 'static {
     type Input: 'static;
     type Effect;
 
-    /// Returns the input that lets time pass.
+    /// Returns the input for a tick of the timer.
     fn tick() -> Self::Input;
 
-    /// Takes in one input.
+    /// Handles one input.
     ///
     /// # Errors
     ///
-    /// Returns an error after which the process must stop.
+    /// Returns an error after which the process must exit.
     fn handle(&mut self, now: Now, input: Self::Input) -> Result<()>;
 
     fn take_effects(&mut self) -> Vec<Self::Effect>;
@@ -44,22 +44,22 @@
 
     fn in_force(&self) -> Revision;
 
-    /// Returns whether a balancer or an operator may count on the role.
+    /// Returns whether the role is ready to serve requests.
     fn is_ready(&self) -> bool;
 
-    /// Returns whether a planned stop has nothing left to wait for.
+    /// Returns whether a planned stop has no work left to wait for.
     fn is_drained(&self) -> bool;
 }
 
 /// Carries out the effects of a core.
 pub(super) trait Adapter<C: RoleCore>: 'static {
-    fn carry(&mut self, effect: C::Effect, in_force: Revision);
+    fn execute(&mut self, effect: C::Effect, in_force: Revision);
 
-    /// Takes note of the core after a turn, for metrics.
+    /// Updates the metrics from the core's state after each input.
     fn observe(&mut self, core: &C);
 }
 
-/// What other threads see of a role.
+/// The state of a role as other threads read it.
 #[derive(Debug, Default)]
 pub(super) struct RoleStatus {
     ready: AtomicBool,
@@ -76,7 +76,7 @@
     }
 }
 
-/// One role as an actor.
+/// A role's core with its adapter, run as an actor.
 pub(super) struct RoleActor<C: RoleCore, A: Adapter<C>> {
     core: C,
     adapter: A,
@@ -86,23 +86,23 @@
 }
 
 impl<C: RoleCore, A: Adapter<C>> RoleActor<C, A> {
-    /// Makes the actor and lets its core begin.
+    /// Creates the actor and gives its core the first tick.
     pub(super) fn init(cx: CX![], core: C, adapter: A, status: Arc<RoleStatus>) -> Option<Self> {
-        let mut res = RoleActor { core, adapter, status, clock: Clock, timer: None };
-        res.input(cx, C::tick());
-        Some(res)
+        let mut actor = RoleActor { core, adapter, status, clock: Clock, timer: None };
+        actor.handle_input(cx, C::tick());
+        Some(actor)
     }
 
-    /// Takes in one input, carries out what it led to, and sets the timer.
-    pub(super) fn input(&mut self, cx: CX![], input: C::Input) {
+    /// Handles one input, executes the resulting effects, and sets the timer.
+    pub(super) fn handle_input(&mut self, cx: CX![], input: C::Input) {
         let now = self.clock.now();
         if let Err(report) = self.core.handle(now, input) {
             tracing::error!(event = "core_failed", error = %format_args!("{report:#}"));
             return cx.fail_string(report.to_string());
         }
         let in_force = self.core.in_force();
-        for it in self.core.take_effects() {
-            self.adapter.carry(it, in_force);
+        for effect in self.core.take_effects() {
+            self.adapter.execute(effect, in_force);
         }
         self.adapter.observe(&self.core);
         self.status.ready.store(self.core.is_ready(), Ordering::Relaxed);
@@ -111,26 +111,30 @@
     }
 
     fn set_timer(&mut self, cx: CX![], now: Now) {
-        let at_ms = self.core.next_tick_ms().clamp(now.mono_ms, now.mono_ms + TICK_MAX_MS);
-        if self.timer.is_some_and(|(set_ms, _)| set_ms <= at_ms && now.mono_ms < set_ms) {
-            // It fires early enough, and finds out then what is due.
+        let tick_at_ms =
+            self.core.next_tick_ms().clamp(now.mono_ms, now.mono_ms + TICK_INTERVAL_MAX_MS);
+        if self
+            .timer
+            .is_some_and(|(timer_at_ms, _)| timer_at_ms <= tick_at_ms && now.mono_ms < timer_at_ms)
+        {
+            // The timer already fires early enough; the core then finds what is due.
             return;
         }
         if let Some((_, key)) = self.timer.take() {
             cx.timer_del(key);
         }
-        let pause = Duration::from_millis((at_ms - now.mono_ms).max(1));
+        let delay = Duration::from_millis((tick_at_ms - now.mono_ms).max(1));
         self.timer =
-            Some((now.mono_ms + pause.as_millis() as u64, after!(pause, [cx], on_timer())));
+            Some((now.mono_ms + delay.as_millis() as u64, after!(delay, [cx], on_timer())));
     }
 
     fn on_timer(&mut self, cx: CX![]) {
         self.timer = None;
-        self.input(cx, C::tick());
+        self.handle_input(cx, C::tick());
     }
 }
 
-/// Starts a role in an actor, with whose end the process ends.
+/// Starts a role in an actor; when the actor ends, the process exits.
 pub(super) fn start_actor<C: RoleCore, A: Adapter<C>>(
     stakker: &mut Stakker,
     core: C,
@@ -239,7 +243,7 @@
     }
 
     fn is_drained(&self) -> bool {
-        // Alone, there is nobody to hand over to.
+        // A single voter has no other member to transfer the leadership to.
         !self.raft().is_leader() || self.raft().members().voters.len() < 2
     }
 }
--- a/src/runtime/single_threaded/adapters.rs
+++ b/src/runtime/single_threaded/adapters.rs
@@ -1,4 +1,4 @@
-//! What carries out the effects of the cores on the one thread.
+//! Adapters that execute the effects of the cores on the single thread.
 
 use std::{
     cell::{Cell, RefCell},
@@ -50,14 +50,14 @@
     pub pending: Pending,
     pub platform: P,
     pub is_stopping: Rc<Cell<bool>>,
-    /// When the newest request came, or the newest answer was given.
+    /// Time of the last request or answer, whichever is later.
     pub last_activity: Rc<Cell<Instant>>,
     pub metrics: Arc<Metrics>,
 }
 
 impl<P: Platform> GatewayAdapter<P> {
     fn count(&self, answer: &gateway::GatewayAnswer, took_ms: u64) {
-        let end = match answer {
+        let result_label = match answer {
             gateway::GatewayAnswer::Outcome(_) => "told",
             gateway::GatewayAnswer::Rejected { cause, .. } => {
                 self.metrics.gateway_refused(*cause);
@@ -65,12 +65,12 @@
             }
             gateway::GatewayAnswer::Unknown => "unknown",
         };
-        self.metrics.gateway_answered(end, took_ms as f64 / 1_000.0);
+        self.metrics.gateway_answered(result_label, took_ms as f64 / 1_000.0);
     }
 }
 
 impl<P: Platform> Adapter<GatewayCore> for GatewayAdapter<P> {
-    fn carry(&mut self, effect: gateway::Effect, _in_force: Revision) {
+    fn execute(&mut self, effect: gateway::Effect, _in_force: Revision) {
         match effect {
             gateway::Effect::Send { to, message } => self.sender.send(to, message),
             gateway::Effect::Answer { token, answer, took_ms } => {
@@ -78,7 +78,7 @@
                 self.last_activity.set(Instant::now());
                 let mut answer = self.platform.answer(&answer);
                 if self.is_stopping.get() {
-                    // The next request of this client has to go to another process.
+                    // Makes the client send its next request to another process.
                     answer.headers.push(("Connection", "close".to_owned()));
                 }
                 self.pending.answer(token, answer);
@@ -99,7 +99,7 @@
 }
 
 impl<P: Platform> Adapter<NodeCore> for NodeAdapter<P> {
-    fn carry(&mut self, effect: node::Effect, _in_force: Revision) {
+    fn execute(&mut self, effect: node::Effect, _in_force: Revision) {
         match effect {
             node::Effect::Send { to, message } => self.sender.send(to, message),
             node::Effect::AnnouncementIgnored(cause) => {
@@ -108,16 +108,16 @@
             node::Effect::Call { id, call } => {
                 let (pool, platform) = (self.pool.clone(), self.platform.clone());
                 let (handle, timeout_ms) = (self.handle.clone(), self.timeout_ms);
-                let made_ms = Clock.now().mono_ms;
+                let created_ms = Clock.now().mono_ms;
                 tokio::task::spawn_local(async move {
-                    let result = match Clock.now().mono_ms < made_ms + STALE_CALL_MS {
+                    let result = match Clock.now().mono_ms < created_ms + CALL_AGE_MAX_MS {
                         true => {
                             let reply = pool.call(platform.worker_call(&call, timeout_ms)).await;
                             platform.worker_result(&call, reply)
                         }
                         false => CallResult::NoAnswer,
                     };
-                    handle.post(Event::Node(node::Input::CallEnded { id, result }));
+                    handle.send_event(Event::Node(node::Input::CallEnded { id, result }));
                 });
             }
         }
@@ -126,9 +126,9 @@
     fn observe(&mut self, _core: &NodeCore) {}
 }
 
-/// Time after which a call of the worker is no longer sent: this process stood still meanwhile, and
-/// another lifetime may go by the worker's id.
-const STALE_CALL_MS: u64 = 300;
+/// Age from which a queued call to the worker is dropped: this process was suspended meanwhile, and
+/// the worker's id may belong to another worker incarnation by now.
+const CALL_AGE_MAX_MS: u64 = 300;
 
 pub(super) struct MemberAdapter {
     pub sender: MessageSender,
@@ -137,11 +137,11 @@
 }
 
 impl Adapter<ControlCore> for MemberAdapter {
-    fn carry(&mut self, effect: control::Effect, _in_force: Revision) {
+    fn execute(&mut self, effect: control::Effect, _in_force: Revision) {
         match effect {
             control::Effect::Send { to, message } => self.sender.send(to, message),
             control::Effect::Write { number, writes } => self.disk.submit(number, writes),
-            // Operations come over links only: this process has no edge of the older interface.
+            // Operations arrive over links only: this process has no HTTP listener for operations.
             control::Effect::Answer { .. } => (),
         }
     }
--- a/src/runtime/single_threaded/mod.rs
+++ b/src/runtime/single_threaded/mod.rs
@@ -1,7 +1,7 @@
-//! A process for small VMs: every core, link and HTTP edge on one thread.
+//! A process for small VMs: every core, link and HTTP listener on one thread.
 //!
-//! Only the disk has a thread of its own, since a sync blocks. On a fraction of a processor each
-//! hand-over between threads costs a wake-up that nothing is gained by.
+//! Only the disk has its own thread, since a sync blocks. On a VM with a fraction of a CPU, each
+//! switch between threads would cost a wake-up and gain no parallelism.
 
 mod adapters;
 mod options;
@@ -41,7 +41,9 @@
         role::{RoleActor, RoleStatus, start_actor},
         single_threaded::{
             adapters::{GatewayAdapter, Loopback, MemberAdapter, MessageSender, NodeAdapter},
-            options::{control_links, gateway_options, member_settings, node_options, small},
+            options::{
+                control_links, gateway_options, member_settings, node_options, small_server_options,
+            },
         },
     },
     schema::settings::{DispatchSettings, GatewaySettings, NodeSettings, Settings},
@@ -51,55 +53,56 @@
 /// Longest wait for an event.
 const WAIT_MAX: Duration = Duration::from_secs(1);
 
-/// Interval at which a stopping process looks whether it may end.
-const STOP_LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a stopping process checks whether it can exit.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Events taken in before the actors run.
-const BATCH: usize = 256;
+/// Most queued events that are dispatched before the actors run.
+const BATCH_EVENTS_MAX: usize = 256;
 
-/// Shortest time for which a stopping edge still answers: a balancer looks once a second and
-/// takes two misses.
-const EDGE_STOP_MIN: Duration = Duration::from_millis(2_500);
+/// Shortest time for which a stopping gateway still serves: a load balancer probes once a second
+/// and removes a gateway after two failed probes.
+const GATEWAY_STOP_MIN: Duration = Duration::from_millis(2_500);
 
-/// Time without a request or an answer after which a stopping process may end: clients that hold
-/// a connection open still send on it, and answers need a moment to leave. Counted from requests
-/// alone, it cut off the answer to one that had waited a second for a silent leader.
-const EDGE_QUIET: Duration = Duration::from_millis(1_000);
+/// Time without a request or an answer after which a stopping gateway can exit: clients still send
+/// on open connections, and answers need time to be sent. If only requests counted, the answer to a
+/// request that has waited a second for an unresponsive leader would be cut off.
+const GATEWAY_IDLE_MIN: Duration = Duration::from_millis(1_000);
 
-/// The same beside a control process, whose operators ask again elsewhere.
-const MEMBER_QUIET: Duration = Duration::from_millis(200);
+/// As [`GATEWAY_IDLE_MIN`], in a control process, whose operators retry elsewhere.
+const MEMBER_IDLE_MIN: Duration = Duration::from_millis(200);
 
-/// Translates between the product and what the platform speaks; it decides nothing.
+/// Translates between the core's types and the platform's HTTP messages; makes no decisions.
 pub trait Platform: Clone + 'static {
-    /// Reads a client's request, and how long the client waits; or answers it at once.
-    fn client_request(&self, it: &HttpRequest) -> Result<(WorkflowRequest, u64), HttpAnswer>;
+    /// Returns a client's request and its wait in ms, or an immediate answer.
+    fn client_request(&self, request: &HttpRequest) -> Result<(WorkflowRequest, u64), HttpAnswer>;
 
-    /// Reads an operator's request, as [`Platform::client_request`].
-    fn operator_request(&self, it: &HttpRequest) -> Result<(WorkflowRequest, u64), HttpAnswer>;
+    /// Returns an operator's request, as [`Platform::client_request`].
+    fn operator_request(&self, request: &HttpRequest)
+    -> Result<(WorkflowRequest, u64), HttpAnswer>;
 
-    /// Writes the answer to either.
-    fn answer(&self, it: &gateway::GatewayAnswer) -> HttpAnswer;
+    /// Returns the HTTP answer to either request.
+    fn answer(&self, answer: &gateway::GatewayAnswer) -> HttpAnswer;
 
-    /// Writes the answer to a request that could not be read.
-    fn refusal(&self, it: &Refusal) -> HttpAnswer;
+    /// Returns the HTTP answer to a request that could not be read.
+    fn refusal(&self, refusal: &Refusal) -> HttpAnswer;
 
-    /// Answers a balancer's probe.
-    fn readiness(&self, it: &HttpRequest, is_ready: bool) -> HttpAnswer;
+    /// Answers a readiness probe of a load balancer.
+    fn readiness(&self, request: &HttpRequest, is_ready: bool) -> HttpAnswer;
 
-    /// Reads what a worker says to its node, with the answer to it; or only answers it.
+    /// Returns the input for the node from a worker's request, with the answer to it.
     ///
     /// # Errors
     ///
-    /// Returns why it names no worker for use, with the answer to that.
+    /// Returns why the request announces no usable worker, with the answer to it.
     fn worker_request(
         &self,
-        it: &HttpRequest,
+        request: &HttpRequest,
     ) -> Result<(node::Input, HttpAnswer), (AnnouncementRejection, HttpAnswer)>;
 
-    /// Writes a call of a worker.
-    fn worker_call(&self, it: &WorkerCall, timeout_ms: u64) -> HttpCall;
+    /// Returns the HTTP form of a call to a worker.
+    fn worker_call(&self, call: &WorkerCall, timeout_ms: u64) -> HttpCall;
 
-    /// Reads what came back.
+    /// Returns the result of a call to a worker.
     fn worker_result(
         &self,
         call: &WorkerCall,
@@ -107,7 +110,7 @@
     ) -> CallResult;
 }
 
-/// What the thread is told.
+/// An event for the process's thread.
 #[derive(Debug)]
 enum Event {
     Link(LinkEvent),
@@ -122,14 +125,14 @@
     Reload,
 }
 
-/// Hands events to the thread of a process.
+/// Sends events to the thread of a process.
 #[derive(Clone, Debug)]
 pub struct SingleThreadedHandle {
     events: mpsc::UnboundedSender<Event>,
 }
 
 impl SingleThreadedHandle {
-    // Sending fails only once the process has ended; there is nobody left to tell.
+    // Sending fails only after the process has ended.
 
     /// Begins a planned stop.
     pub fn stop(&self) {
@@ -141,37 +144,37 @@
         let _ = self.events.send(Event::Kill);
     }
 
-    /// Reads the settings again.
+    /// Reloads the settings.
     pub fn reload(&self) {
         let _ = self.events.send(Event::Reload);
     }
 
-    fn post(&self, event: Event) {
+    fn send_event(&self, event: Event) {
         let _ = self.events.send(event);
     }
 }
 
 impl LinkSink for SingleThreadedHandle {
     fn on_event(&self, event: LinkEvent) {
-        self.post(Event::Link(event));
+        self.send_event(Event::Link(event));
     }
 }
 
 impl DiskSink for SingleThreadedHandle {
     fn persisted(&self, number: u64) {
-        self.post(Event::Persisted(number));
+        self.send_event(Event::Persisted(number));
     }
 
     fn space_changed(&self, is_full: bool) {
-        self.post(Event::DiskFull(is_full));
+        self.send_event(Event::DiskFull(is_full));
     }
 
-    fn refusal_changed(&self, refuses: bool) {
-        self.post(Event::DiskWritesRefused(refuses));
+    fn refusal_changed(&self, is_refusing: bool) {
+        self.send_event(Event::DiskWritesRefused(is_refusing));
     }
 
     fn failed(&self, report: error_stack::Report<Error>) {
-        self.post(Event::DiskFailed(report));
+        self.send_event(Event::DiskFailed(report));
     }
 }
 
@@ -185,20 +188,20 @@
     events: mpsc::UnboundedReceiver<Event>,
 }
 
-type CoreOwn<C, A> = ActorOwn<RoleActor<C, A>>;
+type CoreActor<C, A> = ActorOwn<RoleActor<C, A>>;
 
 struct Actors<P: Platform> {
-    gateway: Option<CoreOwn<GatewayCore, GatewayAdapter<P>>>,
-    node: Option<CoreOwn<NodeCore, NodeAdapter<P>>>,
-    member: Option<CoreOwn<ControlCore, MemberAdapter>>,
+    gateway: Option<CoreActor<GatewayCore, GatewayAdapter<P>>>,
+    node: Option<CoreActor<NodeCore, NodeAdapter<P>>>,
+    member: Option<CoreActor<ControlCore, MemberAdapter>>,
     statuses: Vec<Arc<RoleStatus>>,
     is_stopping: Rc<Cell<bool>>,
-    /// When the newest request came, or the newest answer was given.
+    /// Time of the last request or answer, whichever is later.
     last_activity: Rc<Cell<Instant>>,
 }
 
 impl<P: Platform> SingleThreadedProcess<P> {
-    /// Makes a process from checked settings and the file that they come from.
+    /// Creates a process from validated settings and the file that they were loaded from.
     pub fn new(
         settings: Settings,
         settings_file: PathBuf,
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Returns a handle to stop it by.
+    /// Returns a handle that stops the process or reloads its settings.
     pub fn handle(&self) -> SingleThreadedHandle {
         self.handle.clone()
     }
@@ -226,7 +229,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when it cannot start.
+    /// Returns an error if the process cannot start.
     pub fn run(self) -> Result<ExitReason> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -237,7 +240,7 @@
 
     async fn run_local(mut self) -> Result<ExitReason> {
         let process = self.settings.process.clone();
-        // What a member kept is read before anything is listened on.
+        // A control member recovers its stored state before any listener starts.
         let disk = match &self.settings.dispatch {
             Some(it) => Some(self.open_disk(it)?),
             None => None,
@@ -253,12 +256,12 @@
         let mut stakker = Stakker::new(Instant::now());
         let actors = self.start_roles(&mut stakker, disk, &sender)?;
         tracing::info!(event = "started", process = %process.name, zone = %process.zone, link = %self.settings.link.listen, roles = ?process.roles);
-        let ending = self.turn(&mut stakker, &actors, &loopback).await;
-        tracing::info!(event = "ended", process = %process.name, ending = ?ending);
-        Ok(ending)
+        let exit_reason = self.run_event_loop(&mut stakker, &actors, &loopback).await;
+        tracing::info!(event = "ended", process = %process.name, ending = ?exit_reason);
+        Ok(exit_reason)
     }
 
-    /// Opens the data folder, after giving it an identity if it has none.
+    /// Opens the data folder, and first creates its identity if it has none.
     fn open_disk(&self, settings: &DispatchSettings) -> Result<OpenDisk> {
         let folder = Path::new(settings.data_folder.as_str());
         let process = &self.settings.process;
@@ -281,24 +284,28 @@
         sender: &MessageSender,
     ) -> Result<Actors<P>> {
         let mut statuses = Vec::new();
-        let mut status = || {
-            let res = Arc::new(RoleStatus::default());
-            statuses.push(res.clone());
-            res
+        let mut new_status = || {
+            let status = Arc::new(RoleStatus::default());
+            statuses.push(status.clone());
+            status
         };
         let is_stopping = Rc::new(Cell::new(false));
         let last_activity = Rc::new(Cell::new(Instant::now()));
         let controls = control_links(&self.settings);
         let member = match (&self.settings.dispatch, disk) {
-            (Some(settings), Some(it)) => {
+            (Some(settings), Some(open_disk)) => {
                 let adapter = MemberAdapter {
                     sender: sender.clone(),
-                    disk: DiskWriter::start(it.disk, self.metrics.clone(), self.handle.clone())?,
+                    disk: DiskWriter::start(
+                        open_disk.disk,
+                        self.metrics.clone(),
+                        self.handle.clone(),
+                    )?,
                     metrics: self.metrics.clone(),
                 };
-                let options = self.control_options(settings, &it.identity, &controls);
-                let core = ControlCore::new(options, it.recovered, Clock.now())?;
-                Some(start_actor(stakker, core, adapter, status()))
+                let options = self.control_options(settings, &open_disk.identity, &controls);
+                let core = ControlCore::new(options, open_disk.recovered, Clock.now())?;
+                Some(start_actor(stakker, core, adapter, new_status()))
             }
             _ => None,
         };
@@ -313,9 +320,9 @@
                     metrics: self.metrics.clone(),
                 };
                 let core = NodeCore::new(node_options(settings, sender.own_address, &controls));
-                let status = status();
-                self.start_worker_edge(settings)?;
-                self.start_metrics(settings.metrics_listen)?;
+                let status = new_status();
+                self.start_worker_listener(settings)?;
+                self.start_metrics_listener(settings.metrics_listen)?;
                 Some(start_actor(stakker, core, adapter, status))
             }
             None => None,
@@ -333,10 +340,10 @@
                 };
                 let core =
                     GatewayCore::new(gateway_options(settings, sender.own_address, &controls));
-                let status = status();
-                self.start_gateway_edge(settings, &pending, last_activity.clone())?;
-                self.start_readiness(settings.readiness_listen, status.clone())?;
-                self.start_metrics(settings.metrics_listen)?;
+                let status = new_status();
+                self.start_gateway_listener(settings, &pending, last_activity.clone())?;
+                self.start_readiness_listener(settings.readiness_listen, status.clone())?;
+                self.start_metrics_listener(settings.metrics_listen)?;
                 Some(start_actor(stakker, core, adapter, status))
             }
             None => None,
@@ -370,11 +377,11 @@
         }
     }
 
-    fn start_gateway_edge(
+    fn start_gateway_listener(
         &self,
         settings: &GatewaySettings,
         pending: &Pending,
-        served: Rc<Cell<Instant>>,
+        last_activity: Rc<Cell<Instant>>,
     ) -> Result<()> {
         let options = ServerOptions {
             listen: settings.listen,
@@ -385,9 +392,9 @@
         let (platform, handle) = (self.platform.clone(), self.handle.clone());
         let metrics = self.metrics.clone();
         let is_for_operators = self.settings.dispatch.is_some();
-        start_local_server(options, pending, move |token, it| {
-            served.set(Instant::now());
-            let it = match it {
+        start_local_server(options, pending, move |token, request| {
+            last_activity.set(Instant::now());
+            let http_request = match request {
                 Ok(it) => it,
                 Err(it) => {
                     metrics.count_refusal(it.kind);
@@ -396,86 +403,92 @@
                 }
             };
             let parsed = match is_for_operators {
-                true => platform.operator_request(&it),
-                false => platform.client_request(&it),
+                true => platform.operator_request(&http_request),
+                false => platform.client_request(&http_request),
             };
             match parsed {
                 Ok((request, wait_ms)) => {
                     metrics.requests.inc();
                     let input = gateway::Input::Request { token, request, wait_ms };
-                    handle.post(Event::Gateway(input));
+                    handle.send_event(Event::Gateway(input));
                     None
                 }
                 Err(answer) => {
                     metrics.count_refusal(ErrorKind::BadRequest);
-                    tracing::info!(event = "request_unreadable", path = %it.path, status = answer.status);
+                    tracing::info!(event = "request_unreadable", path = %http_request.path, status = answer.status);
                     Some(answer)
                 }
             }
         })
     }
 
-    fn start_worker_edge(&self, settings: &NodeSettings) -> Result<()> {
+    fn start_worker_listener(&self, settings: &NodeSettings) -> Result<()> {
         let (platform, handle) = (self.platform.clone(), self.handle.clone());
         let metrics = self.metrics.clone();
-        start_local_server(small(settings.listen), &Pending::default(), move |_, it| {
-            let it = match it {
-                Ok(it) => it,
-                Err(it) => {
-                    metrics.announcement_passed_over(AnnouncementRejection::Unreadable);
-                    return Some(platform.refusal(&it));
-                }
-            };
-            match platform.worker_request(&it) {
-                Ok((input, answer)) => {
-                    handle.post(Event::Node(input));
-                    Some(answer)
-                }
-                Err((cause, answer)) => {
-                    metrics.announcement_passed_over(cause);
-                    tracing::info!(event = "announcement_passed_over", path = %it.path, bytes = it.body.len(), cause = cause.as_str(), status = answer.status);
-                    Some(answer)
+        start_local_server(
+            small_server_options(settings.listen),
+            &Pending::default(),
+            move |_, request| {
+                let http_request = match request {
+                    Ok(it) => it,
+                    Err(it) => {
+                        metrics.announcement_passed_over(AnnouncementRejection::Unreadable);
+                        return Some(platform.refusal(&it));
+                    }
+                };
+                match platform.worker_request(&http_request) {
+                    Ok((input, answer)) => {
+                        handle.send_event(Event::Node(input));
+                        Some(answer)
+                    }
+                    Err((cause, answer)) => {
+                        metrics.announcement_passed_over(cause);
+                        tracing::info!(event = "announcement_passed_over", path = %http_request.path, bytes = http_request.body.len(), cause = cause.as_str(), status = answer.status);
+                        Some(answer)
+                    }
                 }
-            }
-        })
+            },
+        )
     }
 
-    fn start_readiness(&self, listen: SocketAddr, status: Arc<RoleStatus>) -> Result<()> {
+    fn start_readiness_listener(&self, listen: SocketAddr, status: Arc<RoleStatus>) -> Result<()> {
         let platform = self.platform.clone();
-        start_local_server(small(listen), &Pending::default(), move |_, it| match it {
-            Ok(it) => Some(platform.readiness(&it, status.is_ready())),
-            Err(it) => Some(platform.refusal(&it)),
+        start_local_server(small_server_options(listen), &Pending::default(), move |_, request| {
+            match request {
+                Ok(it) => Some(platform.readiness(&it, status.is_ready())),
+                Err(it) => Some(platform.refusal(&it)),
+            }
         })
     }
 
-    fn start_metrics(&self, listen: SocketAddr) -> Result<()> {
+    fn start_metrics_listener(&self, listen: SocketAddr) -> Result<()> {
         let metrics = self.metrics.clone();
-        start_local_server(small(listen), &Pending::default(), move |_, _| {
+        start_local_server(small_server_options(listen), &Pending::default(), move |_, _| {
             Some(HttpAnswer::text(200, "text/plain; version=0.0.4", metrics.render()))
         })
     }
 
-    /// Takes in events and lets the actors run, until the process ends.
-    async fn turn(
+    /// Dispatches events and runs the actors until the process ends.
+    async fn run_event_loop(
         &mut self,
         stakker: &mut Stakker,
         actors: &Actors<P>,
         loopback: &Loopback,
     ) -> ExitReason {
-        let mut stopping: Option<Instant> = None;
+        let mut stopping_since: Option<Instant> = None;
         stakker.run(Instant::now(), false);
         while stakker.not_shutdown() {
-            let longest = if stopping.is_some() { STOP_LOOK } else { WAIT_MAX };
+            let wait_max = if stopping_since.is_some() { STOP_CHECK_INTERVAL } else { WAIT_MAX };
             let mut batch = Vec::new();
             if loopback.borrow().is_empty() {
-                let wait = stakker.next_wait_max(Instant::now(), longest, false);
+                let wait = stakker.next_wait_max(Instant::now(), wait_max, false);
                 tokio::select! {
                     biased;
-                    first = self.events.recv() => batch.extend(first),
+                    first_event = self.events.recv() => batch.extend(first_event),
                     () = tokio::time::sleep(wait) => (),
                 }
             }
-            while batch.len() < BATCH
+            while batch.len() < BATCH_EVENTS_MAX
                 && let Ok(it) = self.events.try_recv()
             {
                 batch.push(it);
@@ -487,12 +500,12 @@
                 match event {
                     Event::Kill => return ExitReason::CutOff,
                     Event::DiskFailed(report) => {
-                        // What the disk holds is not known; only a restart reads it back.
+                        // The content of the disk is unknown; only a restart reads it back.
                         tracing::error!(event = "disk_failed", error = %format_args!("{report:#}"));
                         return ExitReason::Failed;
                     }
                     Event::Stop => {
-                        stopping.get_or_insert_with(Instant::now);
+                        stopping_since.get_or_insert_with(Instant::now);
                         actors.stop();
                     }
                     Event::Reload => self.reload(actors),
@@ -500,17 +513,17 @@
                 }
             }
             stakker.run(Instant::now(), false);
-            let Some(since) = stopping else { continue };
+            let Some(stop_start) = stopping_since else { continue };
             let drain_max = Duration::from_millis(self.settings.process.drain_max_ms.into());
-            let drained = actors.statuses.iter().all(|it| it.is_drained());
-            let (least, quiet) = match (&self.settings.gateway, &self.settings.dispatch) {
+            let is_drained = actors.statuses.iter().all(|it| it.is_drained());
+            let (stop_min, idle_min) = match (&self.settings.gateway, &self.settings.dispatch) {
                 (None, _) => (Duration::ZERO, Duration::ZERO),
-                (Some(_), None) => (EDGE_STOP_MIN, EDGE_QUIET),
-                (Some(_), Some(_)) => (MEMBER_QUIET, MEMBER_QUIET),
+                (Some(_), None) => (GATEWAY_STOP_MIN, GATEWAY_IDLE_MIN),
+                (Some(_), Some(_)) => (MEMBER_IDLE_MIN, MEMBER_IDLE_MIN),
             };
-            let drained = drained && quiet <= actors.last_activity.get().elapsed();
-            match since.elapsed() {
-                elapsed if drained && least <= elapsed => return ExitReason::Drained,
+            let is_drained = is_drained && idle_min <= actors.last_activity.get().elapsed();
+            match stop_start.elapsed() {
+                elapsed if is_drained && stop_min <= elapsed => return ExitReason::Drained,
                 elapsed if drain_max <= elapsed => return ExitReason::CutOff,
                 _ => (),
             }
@@ -518,19 +531,19 @@
         ExitReason::Failed
     }
 
-    /// Reads the settings again; only the control addresses can change while it runs.
+    /// Reloads the settings; only the control addresses and `clock_ahead_ms` can change.
     fn reload(&mut self, actors: &Actors<P>) {
         match load_settings(&self.settings_file) {
-            Ok(it) => {
-                let controls = control_links(&it);
-                let clock_ahead_ms = it.process.clock_ahead_ms;
+            Ok(settings) => {
+                let controls = control_links(&settings);
+                let clock_ahead_ms = settings.process.clock_ahead_ms;
                 tracing::info!(event = "settings_reloaded", controls = ?controls, clock_ahead_ms);
                 set_clock_ahead(clock_ahead_ms.into());
                 actors.set_controls(&controls);
             }
             Err(problems) => {
-                let all: Vec<_> = problems.iter().map(ToString::to_string).collect();
-                tracing::error!(event = "settings_refused", problems = %all.join("; "));
+                let messages: Vec<_> = problems.iter().map(ToString::to_string).collect();
+                tracing::error!(event = "settings_refused", problems = %messages.join("; "));
             }
         }
     }
@@ -548,11 +561,13 @@
             Event::Link(LinkEvent::Message { from, envelope }) => {
                 self.deliver(from, envelope.message)
             }
-            Event::Gateway(it) => self.to_gateway(it),
-            Event::Node(it) => self.to_node(it),
-            Event::Persisted(number) => self.to_member(control::Input::Persisted { number }),
-            Event::DiskFull(it) => self.to_member(control::Input::DiskFull(it)),
-            Event::DiskWritesRefused(it) => self.to_member(control::Input::DiskWritesRefused(it)),
+            Event::Gateway(it) => self.send_to_gateway(it),
+            Event::Node(it) => self.send_to_node(it),
+            Event::Persisted(number) => self.send_to_member(control::Input::Persisted { number }),
+            Event::DiskFull(it) => self.send_to_member(control::Input::DiskFull(it)),
+            Event::DiskWritesRefused(it) => {
+                self.send_to_member(control::Input::DiskWritesRefused(it))
+            }
             Event::Link(LinkEvent::ConnectionLost { peer }) => {
                 tracing::debug!(event = "link_lost", %peer);
             }
@@ -563,43 +578,43 @@
     fn deliver(&self, from: SocketAddr, message: Message) {
         match message {
             Message::WorkflowAnswer(_) => {
-                self.to_gateway(gateway::Input::Message(Box::new(message)))
+                self.send_to_gateway(gateway::Input::Message(Box::new(message)))
             }
             Message::NodeGrant(_) | Message::NotLeader(_) => {
-                self.to_node(node::Input::Message(Box::new(message)))
+                self.send_to_node(node::Input::Message(Box::new(message)))
             }
-            message => self.to_member(control::Input::Message { from, message }),
+            message => self.send_to_member(control::Input::Message { from, message }),
         }
     }
 
     fn set_controls(&self, controls: &[SocketAddr]) {
-        self.to_gateway(gateway::Input::ControlAddresses(controls.to_vec()));
-        self.to_node(node::Input::ControlAddresses(controls.to_vec()));
-        self.to_member(control::Input::ControlAddresses(controls.to_vec()));
+        self.send_to_gateway(gateway::Input::ControlAddresses(controls.to_vec()));
+        self.send_to_node(node::Input::ControlAddresses(controls.to_vec()));
+        self.send_to_member(control::Input::ControlAddresses(controls.to_vec()));
     }
 
     fn stop(&self) {
         self.is_stopping.set(true);
-        self.to_gateway(gateway::Input::Stop);
-        self.to_node(node::Input::Stop);
-        self.to_member(control::Input::Stop);
+        self.send_to_gateway(gateway::Input::Stop);
+        self.send_to_node(node::Input::Stop);
+        self.send_to_member(control::Input::Stop);
     }
 
-    fn to_gateway(&self, input: gateway::Input) {
+    fn send_to_gateway(&self, input: gateway::Input) {
         if let Some(it) = &self.gateway {
-            call!([it], input(input));
+            call!([it], handle_input(input));
         }
     }
 
-    fn to_node(&self, input: node::Input) {
+    fn send_to_node(&self, input: node::Input) {
         if let Some(it) = &self.node {
-            call!([it], input(input));
+            call!([it], handle_input(input));
         }
     }
 
-    fn to_member(&self, input: control::Input) {
+    fn send_to_member(&self, input: control::Input) {
         if let Some(it) = &self.member {
-            call!([it], input(input));
+            call!([it], handle_input(input));
         }
     }
 }
--- a/src/runtime/single_threaded/options.rs
+++ b/src/runtime/single_threaded/options.rs
@@ -1,4 +1,4 @@
-//! What the cores are told, made from the settings.
+//! Derives the options of the cores and HTTP servers from the settings.
 
 use std::net::SocketAddr;
 
@@ -15,10 +15,10 @@
 /// Largest body of a readiness probe or a request for metrics.
 const SMALL_BODY_BYTES: usize = 64 * 1024;
 
-/// Largest headers of such a request.
+/// Largest headers of a readiness probe or a request for metrics.
 const SMALL_HEADERS_BYTES: usize = 16 * 1024;
 
-/// Returns the link addresses of the control processes that the settings name.
+/// Returns the link addresses of the control processes in the settings.
 pub(super) fn control_links(settings: &Settings) -> Vec<SocketAddr> {
     let port = settings.link.control_port as u16;
     let link = |it: &SocketAddr| match port {
@@ -28,7 +28,7 @@
     settings.link.control.iter().map(link).collect()
 }
 
-pub(super) fn small(listen: SocketAddr) -> ServerOptions {
+pub(super) fn small_server_options(listen: SocketAddr) -> ServerOptions {
     ServerOptions {
         listen,
         threads: 1,
@@ -73,8 +73,8 @@
     }
 }
 
-/// Returns the settings of a member of a group that keeps no work of the older kind: what they
-/// bound is never reached.
+/// Returns the settings of a member of a group that runs workflows only. Such a group holds no
+/// jobs, claims, VMs or watches, so their limits are never reached.
 pub(super) fn member_settings(settings: &DispatchSettings, address: SocketAddr) -> ControlSettings {
     ControlSettings {
         claim_retention_ms: 0,
--- a/src/runtime/thread_pool.rs
+++ b/src/runtime/thread_pool.rs
@@ -1,4 +1,4 @@
-//! Threads for calls that block, started as they are needed.
+//! A pool of threads for blocking calls, started on demand.
 
 use std::{
     sync::{
@@ -10,51 +10,55 @@
 
 use crossbeam_channel::{Receiver, Sender};
 
-/// A bounded number of threads that each run one job at a time.
+/// A bounded number of threads, each of which runs one job at a time.
 pub(super) struct ThreadPool<J, R> {
     jobs: Sender<J>,
     receiver: Receiver<J>,
-    idle: Arc<AtomicUsize>,
-    started: usize,
+    idle_count: Arc<AtomicUsize>,
+    thread_count: usize,
     threads_max: usize,
-    run: Arc<R>,
+    run_job: Arc<R>,
 }
 
 impl<J: Send + 'static, R: Fn(J) + Send + Sync + 'static> ThreadPool<J, R> {
-    /// Makes a pool without threads.
-    pub(super) fn new(threads_max: usize, run: R) -> ThreadPool<J, R> {
+    /// Creates a pool without threads.
+    pub(super) fn new(threads_max: usize, run_job: R) -> ThreadPool<J, R> {
         let (jobs, receiver) = crossbeam_channel::unbounded();
         ThreadPool {
             jobs,
             receiver,
-            idle: Arc::new(AtomicUsize::new(0)),
-            started: 0,
+            idle_count: Arc::new(AtomicUsize::new(0)),
+            thread_count: 0,
             threads_max,
-            run: Arc::new(run),
+            run_job: Arc::new(run_job),
         }
     }
 
-    /// Runs a job on an idle thread, a new one, or when one becomes idle.
+    /// Runs a job on an idle thread or a new one, or queues it until a thread becomes idle.
     pub(super) fn submit(&mut self, job: J) {
-        if self.idle.load(Ordering::Acquire) <= self.jobs.len() && self.started < self.threads_max {
+        if self.idle_count.load(Ordering::Acquire) <= self.jobs.len()
+            && self.thread_count < self.threads_max
+        {
             self.start_thread();
         }
-        // The pool holds a receiver itself, so the channel is open.
+        // The pool itself holds a receiver, so the channel is always open.
         let _ = self.jobs.send(job);
     }
 
     fn start_thread(&mut self) {
-        let (receiver, idle, run) = (self.receiver.clone(), self.idle.clone(), self.run.clone());
-        let work = move || {
-            idle.fetch_add(1, Ordering::Release);
+        let (receiver, idle_count, run_job) =
+            (self.receiver.clone(), self.idle_count.clone(), self.run_job.clone());
+        let run_jobs = move || {
+            idle_count.fetch_add(1, Ordering::Release);
             while let Ok(job) = receiver.recv() {
-                idle.fetch_sub(1, Ordering::Release);
-                run(job);
-                idle.fetch_add(1, Ordering::Release);
+                idle_count.fetch_sub(1, Ordering::Release);
+                run_job(job);
+                idle_count.fetch_add(1, Ordering::Release);
             }
         };
-        match thread::Builder::new().name("call".to_owned()).stack_size(256 * 1024).spawn(work) {
-            Ok(_) => self.started += 1,
+        match thread::Builder::new().name("call".to_owned()).stack_size(256 * 1024).spawn(run_jobs)
+        {
+            Ok(_) => self.thread_count += 1,
             Err(error) => tracing::error!(event = "thread_not_started", %error),
         }
     }
