--- a/src/bench/batch.rs
+++ b/src/bench/batch.rs
@@ -1,7 +1,7 @@
-//! What each decision about batch work earns, under waves, wrong sizes and faults.
+//! Effect of each scheduling option on batch work, under load waves, wrong run times and faults.
 //!
-//! The real state and the real scheduler are fed seeded arrivals; VMs, run times and the harm
-//! that kinds do to services are small fakes. Every variant sees the same arrivals and faults.
+//! The real state and the real scheduler get seeded arrivals; VMs, run times and the contention
+//! with services are simple models. Every variant gets the same arrivals and faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,34 +20,34 @@
 const VMS: u32 = 10;
 const VM_MILLICORES: u32 = 64_000;
 
-/// How old a report on a VM's services is when it arrives.
-const LAG_MS: u64 = 2_000;
+/// Age of a report on the services of a VM when it arrives.
+const REPORT_AGE_MS: u64 = 2_000;
 
-/// Time that a checkpoint takes.
+/// Duration of a checkpoint.
 const CHECKPOINT_MS: u64 = 2_000;
 
-/// Tail of a service with nothing harmful beside it.
+/// Tail latency of a service without contention.
 const TAIL_ALONE_MS: f64 = 20.0;
 
-/// A load, and the target that an operator sets for the services beside it.
+/// A batch load, and the answer target that an operator sets for the services beside it.
 #[derive(Clone, Copy, Debug)]
 struct Mix {
     name: &'static str,
-    /// Batch work offered, as a part of the processors that services leave.
+    /// Offered batch work as a fraction of the CPU that services leave.
     load: f64,
     target_ms: u32,
 }
 
-/// Whoever weighs the tail sets a tight target, whoever weighs throughput a loose one; the middle
-/// one shows what a tight target costs under full load.
+/// Operators who prefer low tail latency set a tight target, those who prefer throughput a loose
+/// one; the second mix shows the cost of a tight target under full load.
 const MIXES: [Mix; 3] = [
     Mix { name: "quick-heavy, tight target", load: 0.6, target_ms: 40 },
     Mix { name: "batch-heavy, tight target", load: 1.0, target_ms: 40 },
     Mix { name: "batch-heavy, loose target", load: 1.0, target_ms: 120 },
 ];
 
-/// Kinds of batch work: mean run time in seconds, processors, harm of a full VM to services, and
-/// by what factor its callers misjudge it.
+/// Kinds of batch work: name, mean run time in seconds, CPU in millicores, relative increase of
+/// service tails on a VM full of this kind, and ratio of declared to true run time.
 const KINDS: [(&str, f64, u32, f64, f64); 6] = [
     ("index", 15.0, 4_000, 0.1, 10.0),
     ("grade", 40.0, 8_000, 0.2, 0.1),
@@ -57,19 +57,20 @@
     ("pack", 30.0, 4_000, 4.0, 2.0),
 ];
 
-/// A way to schedule that is measured.
+/// A scheduling policy to measure.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Variant {
-    /// First in, first out; the first VM that fits; nothing learned.
+    /// First in, first out, on the first VM that fits, without learning.
     Naive,
-    Ours(SchedulerOptions),
-    /// Ours with true sizes.
+    /// The scheduler with these options.
+    Configured(SchedulerOptions),
+    /// The scheduler with its default options and true run times.
     Clairvoyant,
 }
 
-/// What one run measured.
+/// Results of one simulation.
 #[derive(Clone, Debug, Default)]
-struct Measured {
+struct Measurements {
     completed: u64,
     responses_s: Vec<f64>,
     slowdowns: Vec<f64>,
@@ -82,8 +83,8 @@
     refused: u64,
 }
 
-/// Runs every variant over `seeds` seeds, each for `seconds` of virtual time, and prints a table
-/// with the mean and the standard error over the seeds; `only` names one variant.
+/// Runs every variant with `seeds` seeds, each for `seconds` of virtual time, and prints a table
+/// with the mean and the standard error over the seeds; `only` selects one variant by name.
 pub fn run(seeds: u64, seconds: u64, only: Option<&str>) {
     println!(
         "variant | completed/h | slowdown mean | response p50 s | response p99 s | tail p50 ms | tail p99 ms | over target % | \
@@ -98,10 +99,10 @@
             variants().into_iter().filter(|it| only.is_none_or(|only| it.0 == only))
         {
             let rows: Vec<_> = (1..=seeds)
-                .map(|seed| World::new(seed, mix, variant).run(seconds).row(seconds))
+                .map(|seed| Simulation::new(seed, mix, variant).run(seconds).row(seconds))
                 .collect();
             let cells: Vec<_> =
-                (0..rows[0].len()).map(|at| cell(rows.iter().map(|it| it[at]))).collect();
+                (0..rows[0].len()).map(|column| cell(rows.iter().map(|it| it[column]))).collect();
             println!("{name} | {}", cells.join(" | "));
         }
     }
@@ -111,45 +112,48 @@
     let ours = SchedulerOptions { quarantine_ms: 60_000, ..SchedulerOptions::default() };
     vec![
         ("naive: first fit, FIFO", Variant::Naive),
-        ("ours", Variant::Ours(ours)),
-        ("ours, FIFO", Variant::Ours(SchedulerOptions { rule: RankingRule::Fifo, ..ours })),
+        ("ours", Variant::Configured(ours)),
+        ("ours, FIFO", Variant::Configured(SchedulerOptions { rule: RankingRule::Fifo, ..ours })),
         (
             "ours, shortest remaining",
-            Variant::Ours(SchedulerOptions { rule: RankingRule::ShortestRemaining, ..ours }),
+            Variant::Configured(SchedulerOptions { rule: RankingRule::ShortestRemaining, ..ours }),
         ),
         (
             "ours, RS",
-            Variant::Ours(SchedulerOptions { rule: RankingRule::RemainingTimesSize, ..ours }),
+            Variant::Configured(SchedulerOptions { rule: RankingRule::RemainingTimesSize, ..ours }),
         ),
         (
             "ours, least attained",
-            Variant::Ours(SchedulerOptions { rule: RankingRule::LeastAttained, ..ours }),
+            Variant::Configured(SchedulerOptions { rule: RankingRule::LeastAttained, ..ours }),
         ),
         (
             "ours, sizes as declared",
-            Variant::Ours(SchedulerOptions { corrects_run_times: false, ..ours }),
+            Variant::Configured(SchedulerOptions { corrects_run_times: false, ..ours }),
         ),
         (
             "ours, no interference",
-            Variant::Ours(SchedulerOptions { learns_interference: false, ..ours }),
+            Variant::Configured(SchedulerOptions { learns_interference: false, ..ours }),
+        ),
+        (
+            "ours, no feedback",
+            Variant::Configured(SchedulerOptions { uses_feedback: false, ..ours }),
         ),
-        ("ours, no feedback", Variant::Ours(SchedulerOptions { uses_feedback: false, ..ours })),
         (
             "ours, neither of both",
-            Variant::Ours(SchedulerOptions {
+            Variant::Configured(SchedulerOptions {
                 uses_feedback: false,
                 learns_interference: false,
                 ..ours
             }),
         ),
-        ("ours, no preemption", Variant::Ours(SchedulerOptions { preempts: false, ..ours })),
+        ("ours, no preemption", Variant::Configured(SchedulerOptions { preempts: false, ..ours })),
         (
             "ours, no reserve",
-            Variant::Ours(SchedulerOptions { keeps_urgent_reserve: false, ..ours }),
+            Variant::Configured(SchedulerOptions { keeps_urgent_reserve: false, ..ours }),
         ),
         (
             "ours, no quarantine",
-            Variant::Ours(SchedulerOptions { vm_failures_max: u32::MAX, ..ours }),
+            Variant::Configured(SchedulerOptions { vm_failures_max: u32::MAX, ..ours }),
         ),
         ("clairvoyant sizes", Variant::Clairvoyant),
     ]
@@ -162,7 +166,7 @@
     format!("{mean:.1} ±{:.1}", (variance / count).sqrt())
 }
 
-impl Measured {
+impl Measurements {
     fn row(&self, seconds: u64) -> Vec<f64> {
         let mean = |list: &[f64]| list.iter().sum::<f64>() / list.len().max(1) as f64;
         let over = self.tails_ms.iter().filter(|it| self.target_ms < **it).count();
@@ -188,18 +192,18 @@
     sorted.get(((sorted.len().max(1) - 1) as f64 * quantile) as usize).copied().unwrap_or(0.0)
 }
 
-/// A running incarnation at its fake worker.
+/// A running incarnation on its simulated worker.
 #[derive(Clone, Debug)]
 struct Run {
     incarnation: u32,
     vm: VmId,
     done_ms: f64,
-    begun_ms: f64,
-    /// When a checkpoint asked for is done.
+    initial_done_ms: f64,
+    /// Time at which a requested checkpoint is complete.
     evicted_at_ms: Option<u64>,
 }
 
-struct World {
+struct Simulation {
     variant: Variant,
     mix: Mix,
     random: fastrand::Rng,
@@ -207,24 +211,24 @@
     state: State,
     scheduler: Scheduler,
     runs: BTreeMap<TaskId, Run>,
-    /// True run times by job.
+    /// True run time of each job.
     sizes_ms: BTreeMap<JobId, f64>,
-    /// Reports on tails under way: when they arrive, the VM and the tail.
+    /// Reports on tail latencies in transit: arrival time, VM and tail.
     reports: Vec<(u64, VmId, f64)>,
     services: BTreeSet<TaskId>,
-    measured: Measured,
+    measured: Measurements,
     jobs: u64,
 }
 
-impl World {
-    fn new(seed: u64, mix: Mix, variant: Variant) -> World {
+impl Simulation {
+    fn new(seed: u64, mix: Mix, variant: Variant) -> Simulation {
         let state = State::new(Place { region: 1, group: 1 });
         let options = match variant {
-            Variant::Ours(it) => it,
+            Variant::Configured(it) => it,
             _ => SchedulerOptions::default(),
         };
         let scheduler = Scheduler::new(&state, options);
-        let mut res = World {
+        let mut res = Simulation {
             variant,
             mix,
             random: fastrand::Rng::with_seed(seed),
@@ -235,23 +239,26 @@
             sizes_ms: BTreeMap::new(),
             reports: Vec::new(),
             services: BTreeSet::new(),
-            measured: Measured { target_ms: f64::from(mix.target_ms), ..Measured::default() },
+            measured: Measurements {
+                target_ms: f64::from(mix.target_ms),
+                ..Measurements::default()
+            },
             jobs: 0,
         };
-        res.begin();
+        res.set_up();
         res
     }
 
-    /// Configures, opens the VMs and places two services of ten cores on each.
-    fn begin(&mut self) {
-        let whole = Resources {
+    /// Applies the configuration, opens the VM sessions and places two 10-core services on each VM.
+    fn set_up(&mut self) {
+        let total = Resources {
             cpu_millicores: VMS * VM_MILLICORES,
             memory_mib: u32::MAX,
             accelerators: 0,
         };
-        for (at, share) in [2, 4, 4].into_iter().enumerate() {
-            let quota = Resources { cpu_millicores: whole.cpu_millicores / share, ..whole };
-            let name = format_compact!("team-{at}");
+        for (index, share) in [2, 4, 4].into_iter().enumerate() {
+            let quota = Resources { cpu_millicores: total.cpu_millicores / share, ..total };
+            let name = format_compact!("team-{index}");
             self.configure(ConfigChange::PutTeam(Team {
                 name,
                 quota,
@@ -288,18 +295,18 @@
         self.services.extend(ids);
     }
 
-    fn run(mut self, seconds: u64) -> Measured {
-        let begun_ms = self.now_ms;
-        while self.now_ms < begun_ms + seconds * 1_000 {
+    fn run(mut self, seconds: u64) -> Measurements {
+        let start_ms = self.now_ms;
+        while self.now_ms < start_ms + seconds * 1_000 {
             self.now_ms += STEP_MS;
-            let second = (self.now_ms - begun_ms) / 1_000;
-            self.arrive(second);
-            if (self.now_ms - begun_ms).is_multiple_of(1_000) {
-                self.fail(second);
-                self.measure();
+            let second = (self.now_ms - start_ms) / 1_000;
+            self.submit_arrivals(second);
+            if (self.now_ms - start_ms).is_multiple_of(1_000) {
+                self.inject_faults(second);
+                self.measure_tails();
             }
-            self.progress(second);
-            self.report();
+            self.advance_runs(second);
+            self.deliver_reports();
             self.plan();
         }
         self.measured
@@ -318,14 +325,14 @@
         }
         for it in changes {
             if let Change::Task(id) = it {
-                self.follow(id);
+                self.update_run(id);
             }
         }
         outcome
     }
 
-    /// Keeps the fake workers in step with the state.
-    fn follow(&mut self, id: TaskId) {
+    /// Updates the simulated workers after a change of a task.
+    fn update_run(&mut self, id: TaskId) {
         let Some(task) = self.state.jobs.task(id) else { return };
         match task.placement {
             Some(it)
@@ -336,7 +343,7 @@
                     incarnation: task.incarnation,
                     vm: it.vm,
                     done_ms: kept_ms,
-                    begun_ms: kept_ms,
+                    initial_done_ms: kept_ms,
                     evicted_at_ms: None,
                 };
                 self.runs.insert(id, run);
@@ -423,32 +430,40 @@
         }
     }
 
-    /// Lets jobs arrive: in waves of ten minutes, the harmful kinds in waves of their own.
-    fn arrive(&mut self, second: u64) {
-        let room = f64::from(VMS * (VM_MILLICORES - 20_000));
+    /// Submits arriving jobs in waves of ten minutes; the kind `scan`, which causes the most
+    /// contention, arrives more often in separate waves.
+    fn submit_arrivals(&mut self, second: u64) {
+        let free_millicores = f64::from(VMS * (VM_MILLICORES - 20_000));
         let mean_work: f64 =
             KINDS.iter().map(|it| it.1 * f64::from(it.2)).sum::<f64>() / KINDS.len() as f64;
         let wave = if (second / 600).is_multiple_of(2) { 1.25 } else { 0.7 };
-        let rate = room * self.mix.load * wave / mean_work * STEP_MS as f64 / 1_000.0;
+        let rate = free_millicores * self.mix.load * wave / mean_work * STEP_MS as f64 / 1_000.0;
         let count = rate as u64 + u64::from(self.random.f64() < rate.fract());
         for _ in 0..count {
-            let harmful_wave = (second / 200).is_multiple_of(3);
-            let at = self.random.usize(0..KINDS.len());
-            let at = if harmful_wave && self.random.bool() { 2 } else { at };
-            let (kind, mean_s, cpu, _, misjudged) = KINDS[at];
-            // Exponential sizes, and declarations that are off by the kind's factor and by chance.
+            let is_contention_wave = (second / 200).is_multiple_of(3);
+            let kind_index = self.random.usize(0..KINDS.len());
+            let kind_index = if is_contention_wave && self.random.bool() { 2 } else { kind_index };
+            let (kind, mean_s, cpu_millicores, _, declared_ratio) = KINDS[kind_index];
+            // Run times are exponential; declared ones differ by the kind's and a random factor.
             let size_ms = (-(1.0 - self.random.f64()).ln() * mean_s * 1_000.0).max(500.0);
-            let chance = 10_f64.powf(self.random.f64() - 0.5);
-            self.submit("batch", kind, 1, cpu, size_ms, (size_ms * misjudged * chance) as u64 + 1);
+            let noise = 10_f64.powf(self.random.f64() - 0.5);
+            self.submit(
+                "batch",
+                kind,
+                1,
+                cpu_millicores,
+                size_ms,
+                (size_ms * declared_ratio * noise) as u64 + 1,
+            );
         }
         if second.is_multiple_of(30) && self.now_ms.is_multiple_of(1_000) {
             self.submit("urgent", "urgent", 1, 24_000, 8_000.0, 8_000);
         }
     }
 
-    /// One VM fails every task for ten minutes, another is lost for five; a wave of cancellations
-    /// every ten minutes.
-    fn fail(&mut self, second: u64) {
+    /// Injects faults: one VM fails every task for ten minutes, another is lost for five; every ten
+    /// minutes, about a fifth of the waiting jobs are cancelled.
+    fn inject_faults(&mut self, second: u64) {
         let lost =
             self.state.vms.by_name("vm-7").and_then(|it| it.session.as_ref().map(|it| it.id));
         match (second, lost) {
@@ -479,11 +494,11 @@
         }
     }
 
-    fn is_bad(&self, vm: VmId, second: u64) -> bool {
+    fn is_failing(&self, vm: VmId, second: u64) -> bool {
         (600..1_200).contains(&second) && self.state.vms.get(vm).is_some_and(|it| it.name == "vm-3")
     }
 
-    fn progress(&mut self, second: u64) {
+    fn advance_runs(&mut self, second: u64) {
         let mut events = Vec::new();
         for (id, run) in &mut self.runs {
             if self.services.contains(id) {
@@ -498,7 +513,8 @@
             let size_ms = self.sizes_ms.get(&task.job).copied().unwrap_or(f64::MAX);
             let event = if self.services.contains(id) {
                 None
-            } else if self.is_bad(run.vm, second) && run.begun_ms + 1_000.0 < run.done_ms {
+            } else if self.is_failing(run.vm, second) && run.initial_done_ms + 1_000.0 < run.done_ms
+            {
                 Some(TaskEvent::Failed("bad VM".into()))
             } else if size_ms <= run.done_ms {
                 Some(TaskEvent::Completed(Completion {
@@ -520,14 +536,14 @@
             }));
         }
         for it in events {
-            self.end(it);
+            self.apply_event(it);
         }
     }
 
-    fn end(&mut self, it: TaskEventCommand) {
-        let task = self.state.jobs.task(it.task).cloned();
+    fn apply_event(&mut self, event: TaskEventCommand) {
+        let task = self.state.jobs.task(event.task).cloned();
         let Some(task) = task else { return };
-        let done = match &it.event {
+        let completed_run_ms = match &event.event {
             TaskEvent::Completed(done) => Some(done.run_ms),
             TaskEvent::Failed(_) => {
                 self.measured.failed_runs += 1;
@@ -539,10 +555,10 @@
             }
             _ => None,
         };
-        if self.apply(&Command::TaskEvent(it)).is_err() {
+        if self.apply(&Command::TaskEvent(event)).is_err() {
             return;
         }
-        let Some(run_ms) = done else { return };
+        let Some(run_ms) = completed_run_ms else { return };
         self.scheduler.note_run(&self.state, &task, run_ms);
         let Some(job) = self.state.jobs.job_of(&task).filter(|it| it.spec.class == "batch") else {
             return;
@@ -554,9 +570,9 @@
         self.measured.slowdowns.push(response_ms / size_ms);
     }
 
-    /// Measures the tail of the services on each VM now; the report arrives later.
-    fn measure(&mut self) {
-        let mut harm: BTreeMap<VmId, f64> = BTreeMap::new();
+    /// Measures the tail latency of the services on each VM; the report arrives after a delay.
+    fn measure_tails(&mut self) {
+        let mut contention: BTreeMap<VmId, f64> = BTreeMap::new();
         for (id, run) in &self.runs {
             let Some(job) = self.state.jobs.task(*id).and_then(|it| self.state.jobs.job_of(it))
             else {
@@ -566,19 +582,21 @@
             let throttle =
                 self.scheduler.throttle_permille(*id).map_or(1.0, |it| f64::from(it) / 1_000.0);
             let share = f64::from(job.spec.resources.cpu_millicores) / f64::from(VM_MILLICORES);
-            *harm.entry(run.vm).or_insert(0.0) += kind.map_or(0.0, |it| it.3) * share * throttle;
+            *contention.entry(run.vm).or_insert(0.0) +=
+                kind.map_or(0.0, |it| it.3) * share * throttle;
         }
         let with_services: BTreeSet<_> =
             self.services.iter().filter_map(|it| self.runs.get(it)).map(|it| it.vm).collect();
         for vm in with_services {
             let noise = 0.9 + 0.2 * self.random.f64();
-            let tail_ms = TAIL_ALONE_MS * (1.0 + harm.get(&vm).copied().unwrap_or(0.0)) * noise;
+            let tail_ms =
+                TAIL_ALONE_MS * (1.0 + contention.get(&vm).copied().unwrap_or(0.0)) * noise;
             self.measured.tails_ms.push(tail_ms);
-            self.reports.push((self.now_ms + LAG_MS, vm, tail_ms));
+            self.reports.push((self.now_ms + REPORT_AGE_MS, vm, tail_ms));
         }
     }
 
-    fn report(&mut self) {
+    fn deliver_reports(&mut self) {
         let now_ms = self.now_ms;
         let due: Vec<_> = self.reports.extract_if(.., |it| it.0 <= now_ms).collect();
         if self.variant == Variant::Naive {
@@ -593,8 +611,13 @@
                 leaving: false,
                 answer_p99_ms: tail_ms as u32,
             };
-            let events =
-                self.scheduler.note_endpoints(&self.state, &vm, &[report], LAG_MS, self.now());
+            let events = self.scheduler.note_endpoints(
+                &self.state,
+                &vm,
+                &[report],
+                REPORT_AGE_MS,
+                self.now(),
+            );
             for it in events {
                 let _ = self.apply(&Command::TaskEvent(it));
             }
@@ -614,7 +637,7 @@
         }
     }
 
-    /// First in, first out, on the first VM that fits; the first that fits nowhere blocks.
+    /// First in, first out, on the first VM that fits; a task that fits on no VM blocks the others.
     fn plan_naively(&mut self) {
         loop {
             let waiting = self.state.jobs.tasks().filter(|it| it.state.is_waiting());
--- a/src/bench/capacity.rs
+++ b/src/bench/capacity.rs
@@ -1,4 +1,4 @@
-//! What one control leader costs by the number of VMs and tasks.
+//! Cost of one control leader by the number of VMs and tasks.
 
 use std::time::{Duration, Instant};
 
@@ -18,33 +18,33 @@
 const GROUP_ID: Place = Place { region: 1, group: 1 };
 const WALL_MS: u64 = 1_700_000_000_000;
 
-/// Processors of a VM: room for what the largest case puts on one, and as much again.
+/// CPU of a VM: more than the tasks that the largest case places on one.
 const VM_MILLICORES: u32 = 64_000;
 
-/// What one case measured.
+/// Results of one case.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub vms: u32,
     pub tasks: u32,
-    /// Time to plan and apply one start, by the index.
+    /// Time to plan and apply one start with the index.
     pub start_us: f64,
     /// Time to choose a VM by comparing all of them: the baseline.
     pub scan_us: f64,
-    /// Time to take in and answer one agent's heartbeat.
+    /// Time to handle and answer one agent's heartbeat.
     pub heartbeat_us: f64,
-    /// Bytes of a heartbeat and of its answer on the link.
+    /// Size of a heartbeat and of its answer on the link.
     pub heartbeat_bytes: usize,
     pub reply_bytes: usize,
-    /// Bytes of the state in a snapshot, and the time to encode it.
+    /// Size of the state in a snapshot, and the time to encode it.
     pub snapshot_bytes: usize,
     pub snapshot_ms: f64,
     /// Growth of resident memory while the state and the indexes were built.
     pub resident_bytes: u64,
-    /// Time to build the indexes anew, as after a change of leader.
+    /// Time to rebuild the indexes, as after a change of leader.
     pub rebuild_ms: f64,
 }
 
-/// Measures every pair of the sizes and prints a table with the fitted slopes.
+/// Measures every combination of the sizes and prints a table with the fitted slopes.
 pub fn run(vm_counts: &[u32], task_counts: &[u32]) {
     println!(
         "vms tasks start_us scan_us heartbeat_us heartbeat_B reply_B snapshot_B snapshot_ms resident_B rebuild_ms"
@@ -52,22 +52,22 @@
     let mut cases = Vec::new();
     for tasks in task_counts {
         for vms in vm_counts {
-            let it = measure(*vms, *tasks);
+            let case = measure(*vms, *tasks);
             println!(
                 "{} {} {:.1} {:.1} {:.1} {} {} {} {:.1} {} {:.1}",
-                it.vms,
-                it.tasks,
-                it.start_us,
-                it.scan_us,
-                it.heartbeat_us,
-                it.heartbeat_bytes,
-                it.reply_bytes,
-                it.snapshot_bytes,
-                it.snapshot_ms,
-                it.resident_bytes,
-                it.rebuild_ms
+                case.vms,
+                case.tasks,
+                case.start_us,
+                case.scan_us,
+                case.heartbeat_us,
+                case.heartbeat_bytes,
+                case.reply_bytes,
+                case.snapshot_bytes,
+                case.snapshot_ms,
+                case.resident_bytes,
+                case.rebuild_ms
             );
-            cases.push(it);
+            cases.push(case);
         }
     }
     let per_vm = |it: &Case| f64::from(it.tasks) / f64::from(it.vms);
@@ -98,12 +98,12 @@
     measure: impl Fn(&Case) -> f64,
 ) {
     let points: Vec<_> = cases.iter().map(|it| (size(it), measure(it))).collect();
-    let it = fit(&points);
+    let line = fit(&points);
     println!(
         "fit: {name}: {:.3} + {:.6} x, largest error {:.0} %",
-        it.base,
-        it.slope,
-        it.error * 100.0
+        line.base,
+        line.slope,
+        line.error * 100.0
     );
 }
 
@@ -111,19 +111,19 @@
     Now { mono_ms: 10_000 + ms, wall_ms: WALL_MS + ms }
 }
 
-/// Builds a running installation and measures it.
+/// Measures one case.
 fn measure(vms: u32, tasks: u32) -> Case {
     let resident_before = resident_bytes();
-    let mut core = lead_alone(vms, tasks);
+    let mut core = single_member_leader(vms, tasks);
     let resident_after = resident_bytes();
     let state = core.state().clone();
 
-    let begun = Instant::now();
-    let data = state.to_bytes().map_or(0, |it| it.len());
-    let snapshot_ms = millis(begun.elapsed());
-    let begun = Instant::now();
+    let started_at = Instant::now();
+    let encoded_bytes = state.to_bytes().map_or(0, |it| it.len());
+    let snapshot_ms = millis(started_at.elapsed());
+    let started_at = Instant::now();
     let mut scheduler = Scheduler::new(&state, SchedulerOptions::default());
-    let rebuild_ms = millis(begun.elapsed());
+    let rebuild_ms = millis(started_at.elapsed());
 
     let (heartbeat_us, heartbeat_bytes, reply_bytes) = measure_heartbeats(&mut core);
     let mut state = state;
@@ -136,15 +136,16 @@
         heartbeat_us,
         heartbeat_bytes,
         reply_bytes,
-        snapshot_bytes: data,
+        snapshot_bytes: encoded_bytes,
         snapshot_ms,
         resident_bytes: resident_after.saturating_sub(resident_before),
         rebuild_ms,
     }
 }
 
-/// Makes a group of one that leads `vms` VMs with `tasks` running tasks, through its log.
-fn lead_alone(vms: u32, tasks: u32) -> ControlCore {
+/// Returns the leader of a single-member group with `vms` VMs and `tasks` running tasks, which
+/// were all created through its log.
+fn single_member_leader(vms: u32, tasks: u32) -> ControlCore {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
     let member = Member { id: MemberId(1), address };
     let recovered = RecoveredState {
@@ -164,7 +165,7 @@
     let mut core =
         ControlCore::new(options, recovered, now(0)).expect("an empty disk holds no snapshot");
     for ms in [0, 1_000, 2_500, 4_000] {
-        feed(&mut core, now(ms), Input::Tick);
+        handle_input(&mut core, now(ms), Input::Tick);
     }
     for it in configuration() {
         let based_on = core.in_force();
@@ -175,32 +176,32 @@
     for vm in 0..vms {
         propose(&mut core, Command::OpenSession(open_session(vm)));
     }
-    let mut next = 0;
-    while next < tasks {
-        let count = (tasks - next).min(20);
-        propose(&mut core, Command::Submit(submit(next, count)));
-        next += count;
+    let mut next_number = 0;
+    while next_number < tasks {
+        let count = (tasks - next_number).min(20);
+        propose(&mut core, Command::Submit(submit(next_number, count)));
+        next_number += count;
     }
-    // The plan is the scheduler's; at 25 ms a turn it starts up to 128 tasks.
+    // The scheduler plans the starts: up to 128 tasks in each turn of 25 ms.
     let mut ms = 5_000;
     while core.scheduler().is_some_and(|it| !it.queue().is_empty()) && ms < 60_000 {
         ms += 25;
-        feed(&mut core, now(ms), Input::Tick);
+        handle_input(&mut core, now(ms), Input::Tick);
     }
     core
 }
 
 fn propose(core: &mut ControlCore, command: Command) {
     let operation = Operation::Propose(command);
-    feed(core, now(4_500), Input::Operation { token: 0, operation, deadline_ms: u64::MAX });
+    handle_input(core, now(4_500), Input::Operation { token: 0, operation, deadline_ms: u64::MAX });
 }
 
-/// Hands in one input and lets the disk confirm what it led to; returns the messages sent.
-fn feed(core: &mut ControlCore, now: Now, input: Input) -> Vec<Message> {
+/// Handles one input and confirms the disk writes that it causes; returns the messages sent.
+fn handle_input(core: &mut ControlCore, now: Now, input: Input) -> Vec<Message> {
     let mut sent = Vec::new();
     let mut inputs = vec![input];
     while let Some(input) = inputs.pop() {
-        core.handle(now, input).expect("nothing of this is damaged");
+        core.handle(now, input).expect("the inputs are valid");
         for effect in core.take_effects() {
             match effect {
                 Effect::Write { number, .. } => inputs.push(Input::Persisted { number }),
@@ -221,17 +222,17 @@
     let from = std::net::SocketAddr::from(([127, 0, 0, 1], 2));
     let mut reply_bytes = 0;
     let mut answered = 0;
-    let mut spent = Duration::ZERO;
-    // The first round turns starting into running tasks, which is not what is measured.
+    let mut elapsed = Duration::ZERO;
+    // The first round is not measured: it changes tasks from starting to running.
     for round in 0..2_u64 {
-        for at in 0..rounds.max(heartbeats.len()) {
-            let mut it = heartbeats[at % heartbeats.len()].clone();
-            it.number += round * 1_000_000 + at as u64;
+        for index in 0..rounds.max(heartbeats.len()) {
+            let mut it = heartbeats[index % heartbeats.len()].clone();
+            it.number += round * 1_000_000 + index as u64;
             let input = Input::Message { from, message: Message::AgentHeartbeat(it) };
-            let begun = Instant::now();
-            let sent = feed(core, now(4_500), input);
+            let started_at = Instant::now();
+            let sent = handle_input(core, now(4_500), input);
             if round == 1 {
-                spent += begun.elapsed();
+                elapsed += started_at.elapsed();
                 answered += 1;
                 reply_bytes += sent.into_iter().map(frame_bytes).sum::<usize>();
             }
@@ -239,7 +240,7 @@
     }
     let count = heartbeats.len().max(1);
     (
-        micros(spent) / f64::from(answered.max(1)),
+        micros(elapsed) / f64::from(answered.max(1)),
         bytes / count,
         reply_bytes / answered.max(1) as usize,
     )
@@ -281,11 +282,11 @@
     })
 }
 
-/// Plans and applies starts one job at a time, as they arrive.
+/// Plans and applies starts while jobs arrive one at a time.
 fn measure_starts(state: &mut State, scheduler: &mut Scheduler) -> f64 {
     let rounds = 400;
     let mut started = 0;
-    let mut spent = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     for round in 0..rounds {
         let mut changes = Vec::new();
         let ms = 6_000 + u64::from(round) * 25;
@@ -296,7 +297,7 @@
             &Command::Submit(submit(1_000_000 + round, 4)),
             &mut changes,
         );
-        let begun = Instant::now();
+        let started_at = Instant::now();
         note_all(state, scheduler, &changes);
         let plan = scheduler.plan(state, now(ms));
         for start in plan.starts {
@@ -307,27 +308,27 @@
             }
             note_all(state, scheduler, &changes);
         }
-        spent += begun.elapsed();
+        elapsed += started_at.elapsed();
     }
-    micros(spent) / f64::from(started.max(1))
+    micros(elapsed) / f64::from(started.max(1))
 }
 
 fn note_all(state: &State, scheduler: &mut Scheduler, changes: &[Change]) {
     changes.iter().for_each(|it| scheduler.note_change(state, *it));
 }
 
-/// Chooses a VM by looking at every one, the way that needs no index.
+/// Chooses a VM by a scan of all VMs, which needs no index.
 fn measure_scan(state: &State) -> f64 {
     let need = submit(0, 1).spec.resources;
     let rounds = 200;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut found = 0;
     for _ in 0..rounds {
         let fitting = state.vms.iter().filter(|it| it.has_capacity_for(need));
         found += usize::from(fitting.min_by_key(|it| it.free_capacity().cpu_millicores).is_some());
     }
     std::hint::black_box(found);
-    micros(begun.elapsed()) / f64::from(rounds)
+    micros(started_at.elapsed()) / f64::from(rounds)
 }
 
 fn micros(it: Duration) -> f64 {
@@ -340,8 +341,8 @@
 
 fn configuration() -> Vec<ConfigChange> {
     let quota = Resources { cpu_millicores: u32::MAX, memory_mib: u32::MAX, accelerators: 100 };
-    let team = |at: u32| Team {
-        name: format_compact!("team-{at}"),
+    let team = |index: u32| Team {
+        name: format_compact!("team-{index}"),
         quota,
         jobs_open_max: u32::MAX,
         requests_in_flight_max: 1_000,
@@ -356,7 +357,7 @@
         evictions_per_hour: 100,
         urgent: false,
     };
-    let teams = (0..25).map(|at| ConfigChange::PutTeam(team(at)));
+    let teams = (0..25).map(|index| ConfigChange::PutTeam(team(index)));
     let quick = ConfigChange::PutClass(class("quick", ClassKind::LatencyCritical));
     let batch = ConfigChange::PutClass(class("batch", ClassKind::Batch));
     teams.chain([quick, batch]).collect()
@@ -373,7 +374,7 @@
     }
 }
 
-/// A job of `tasks` tasks, of which about a quarter of the jobs are services.
+/// Returns a job of `tasks` tasks; every fourth job is a service.
 fn submit(number: u32, tasks: u32) -> SubmitCommand {
     let class = if number.is_multiple_of(4) { "quick" } else { "batch" };
     SubmitCommand {
@@ -384,7 +385,7 @@
             class: class.into(),
             subject: format_compact!("lot-{number}"),
             tasks,
-            // Ten VMs have to hold the largest case as well.
+            // Small enough for the largest case to fit on ten VMs.
             resources: Resources { cpu_millicores: 10, memory_mib: 20, accelerators: 0 },
             declared_run_ms: 600_000,
             payload: "{\"input\":\"a-reference-of-about-sixty-bytes-to-the-work-to-do\"}".into(),
--- a/src/bench/commits.rs
+++ b/src/bench/commits.rs
@@ -1,4 +1,4 @@
-//! What commits cost on this machine's disk: together, and one at a time.
+//! Cost of commits on the local disk by batch size, and of recovery by log length.
 
 use std::{path::Path, sync::Arc, time::Instant};
 
@@ -8,17 +8,17 @@
     util::{Clock, Place},
 };
 
-/// Writes `commits` commands of `bytes` each in batches of every size, and prints a line each.
+/// Writes `commits` commands of `bytes` each at every batch size; prints a line for each size.
 ///
 /// # Errors
 ///
-/// Returns an error when the folder cannot be written.
+/// Returns an error if the folder cannot be written.
 pub fn run(folder: &Path, commits: u64, bytes: usize) -> Result<()> {
     println!("batch commits seconds commits_per_second syncs bytes_per_commit");
     for batch in [1, 8, 64, 512] {
         let path = folder.join(format!("batch-{batch}"));
         let mut disk = create(&path)?;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let mut index = 0;
         let mut syncs = 0;
         while index < commits {
@@ -28,16 +28,16 @@
             index += count;
             syncs += 1;
         }
-        let seconds = begun.elapsed().as_secs_f64();
+        let seconds = started_at.elapsed().as_secs_f64();
         let size = std::fs::metadata(path.join("log-0")).map_or(0, |it| it.len());
         let rate = commits as f64 / seconds;
         println!("{batch} {commits} {seconds:.3} {rate:.0} {syncs} {}", size / commits);
     }
-    recover(folder, bytes)
+    measure_recovery(folder, bytes)
 }
 
-/// Measures the start of a member by the length of its log.
-fn recover(folder: &Path, bytes: usize) -> Result<()> {
+/// Measures the recovery of a member by the length of its log.
+fn measure_recovery(folder: &Path, bytes: usize) -> Result<()> {
     println!("log_entries recovery_ms resident_growth_B");
     for count in [1_000, 10_000, 50_000] {
         let path = folder.join(format!("recover-{count}"));
@@ -48,11 +48,11 @@
         }
         drop((disk, entries));
         let resident = crate::bench::resident_bytes();
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let (_disk, recovered): (Disk, RecoveredState) =
             Disk::open(&path, &Identity::read(&path)?, 0)?;
         let raft = Raft::new(MemberId(1), recovered, RaftOptions::default(), Clock.now());
-        let recovery_ms = begun.elapsed().as_secs_f64() * 1e3;
+        let recovery_ms = started_at.elapsed().as_secs_f64() * 1e3;
         let growth = crate::bench::resident_bytes().saturating_sub(resident);
         println!("{} {recovery_ms:.1} {growth}", raft.last_index());
     }
--- a/src/bench/dispatch.rs
+++ b/src/bench/dispatch.rs
@@ -1,4 +1,4 @@
-//! What the leader of workflows costs by the number of workers and of tasks that wait.
+//! Cost of the workflow leader by the number of workers and of waiting tasks.
 
 use std::{
     net::SocketAddr,
@@ -14,69 +14,70 @@
     prelude::*,
 };
 
-/// Images of lasting services and of fillers: as many as on the users' largest deployment.
+/// Images of long-running services and of best-effort tasks (fillers), as many as in the users'
+/// largest deployment.
 const SERVICES: u64 = 16;
 const FILLERS: u64 = 30;
 
-/// Serving tasks and fillers on each worker: two thirds of its cores reserved, most of the rest
-/// filled.
+/// Serving tasks and fillers on each worker: the former reserve two thirds of its cores, the latter
+/// use most of the rest.
 const SERVING_PER_WORKER: u32 = 3;
 const FILLERS_PER_WORKER: u32 = 3;
 
-/// Tasks of one waiting step: the users' mean width of batch work.
+/// Tasks of one waiting step: the mean width of the users' batch steps.
 const STEP_WIDTH: u32 = 40;
 
 /// Interval of a node's reports.
 const REPORT_MS: u64 = 500;
 
-/// Far more than any frame takes here.
+/// Far above the size of any frame in this benchmark.
 const FRAME_MAX_BYTES: usize = 1 << 20;
 
-/// Rounds of reports from all workers that are measured.
+/// Number of measured rounds, in each of which every worker reports once.
 const ROUNDS: u32 = 20;
 
-/// What one case measured, each as the median and as what 99 of 100 stay below.
+/// Results of one case; times are given as median and 99th percentile.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub workers: u64,
     pub waiting: u32,
-    /// Time to decode a report, take it in and encode its answer, without a plan.
+    /// Time to decode and handle a report and to encode its answer, without a plan.
     pub report_us: (f64, f64),
-    /// Time of a turn that makes a plan while everything waits.
+    /// Time of a turn that makes a plan while the waiting tasks cannot be placed.
     pub plan_us: (f64, f64),
     pub rows_visited: RowsVisited,
 }
 
-/// Sessions and rooms that the leader looks at in walks over all of them, in the mean.
+/// Mean number of sessions and free capacities that the leader visits in full scans.
 #[derive(Clone, Copy, Debug)]
 pub struct RowsVisited {
-    /// For each worker that enrols, one by one, plans aside.
+    /// For each worker that registers, one by one, without the rows visited by plans.
     pub per_enrolment: f64,
-    /// For each plan while nothing waits and nothing is slow.
+    /// For each plan while no task waits and no filler is slow.
     pub per_idle_plan: f64,
-    /// For each plan while everything waits and every filler is slow.
+    /// For each plan while the waiting tasks cannot be placed and every filler is slow.
     pub per_plan: f64,
 }
 
-/// Measures every pair of the sizes and prints a table.
+/// Measures every combination of the sizes and prints a table.
 pub fn run(workers: &[u64], waiting: &[u32]) {
     println!(
         "workers waiting report_us_p50 report_us_p99 plan_us_p50 plan_us_p99 looks_per_enrolment looks_per_idle_plan looks_per_plan"
     );
     for waiting in waiting {
         for workers in workers {
-            let it = measure(*workers, *waiting);
+            let case = measure(*workers, *waiting);
             println!(
                 "{} {} {:.1} {:.1} {:.0} {:.0} {:.1} {:.1} {:.1}",
-                it.workers,
-                it.waiting,
-                it.report_us.0,
-                it.report_us.1,
-                it.plan_us.0,
-                it.plan_us.1,
-                it.rows_visited.per_enrolment,
-                it.rows_visited.per_idle_plan,
-                it.rows_visited.per_plan
+                case.workers,
+                case.waiting,
+                case.report_us.0,
+                case.report_us.1,
+                case.plan_us.0,
+                case.plan_us.1,
+                case.rows_visited.per_enrolment,
+                case.rows_visited.per_idle_plan,
+                case.rows_visited.per_plan
             );
         }
     }
@@ -87,7 +88,7 @@
     let mut leader = Leader::new(workers);
     let per_enrolment = leader.enrolment_rows_visited as f64 / workers as f64;
     let per_idle_plan = leader.rows_visited_per_plan(1, LOW_TAIL_MS);
-    // Services first, then fillers, while tails are low enough for these.
+    // Services first, then fillers, while tail latencies are low enough for fillers.
     for id in 0..SERVICES {
         let count = (workers as u32 * SERVING_PER_WORKER).div_ceil(SERVICES as u32);
         leader.submit(id + 1, service(id, count));
@@ -99,21 +100,21 @@
         leader.submit(100 + id, filler(id, count));
     }
     leader.report_all(HIGH_TAIL_MS);
-    // Now nothing more fits beside the services.
+    // With the high tail latencies, no further filler fits beside the services.
     for id in 0..u64::from(waiting.div_ceil(STEP_WIDTH)) {
         leader.submit(1_000 + id, filler(id % FILLERS, STEP_WIDTH));
     }
     leader.report_all(HIGH_TAIL_MS);
-    leader.reports = Vec::new();
-    leader.plans = Vec::new();
+    leader.report_times = Vec::new();
+    leader.plan_times = Vec::new();
     let per_plan = leader.rows_visited_per_plan(ROUNDS, HIGH_TAIL_MS);
     let rows_visited = RowsVisited { per_enrolment, per_idle_plan, per_plan };
-    let report_us = percentiles_us(&mut leader.reports);
-    let plan_us = percentiles_us(&mut leader.plans);
+    let report_us = percentiles_us(&mut leader.report_times);
+    let plan_us = percentiles_us(&mut leader.plan_times);
     Case { workers, waiting, report_us, plan_us, rows_visited }
 }
 
-/// Tails of services with room for fillers, and without.
+/// Tail latencies of services that leave capacity for fillers, and that leave none.
 const LOW_TAIL_MS: u32 = 12;
 const HIGH_TAIL_MS: u32 = 40;
 const TARGET_MS: u64 = 50;
@@ -124,8 +125,8 @@
     now_ms: u64,
     number: u64,
     workers: u64,
-    reports: Vec<Duration>,
-    plans: Vec<Duration>,
+    report_times: Vec<Duration>,
+    plan_times: Vec<Duration>,
     enrolment_rows_visited: u64,
 }
 
@@ -143,15 +144,15 @@
             plan: PlanOptions { interval_ms: 250 },
         };
         let dispatcher = Dispatcher::new(options, &workflows, 1, now);
-        let (reports, plans) = (Vec::new(), Vec::new());
+        let (report_times, plan_times) = (Vec::new(), Vec::new());
         let mut res = Leader {
             workflows,
             dispatcher,
             now_ms: 1_000,
             number: 0,
             workers,
-            reports,
-            plans,
+            report_times,
+            plan_times,
             enrolment_rows_visited: 0,
         };
         res.report_all(0);
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Lets every worker report some times; returns how many sessions and rooms a plan looked at.
+    /// Makes every worker report `rounds` times; returns the mean number of rows visited per plan.
     fn rows_visited_per_plan(&mut self, rounds: u32, tail_ms: u32) -> f64 {
         let (rows_visited, plans) = (self.dispatcher.rows_visited(), self.dispatcher.plan_count());
         (0..rounds).for_each(|_| self.report_all(tail_ms));
@@ -200,7 +201,7 @@
         (self.dispatcher.rows_visited() - rows_visited) as f64 / plans as f64
     }
 
-    /// Lets every worker report once, spread over the interval of reports.
+    /// Makes every worker report once, spread over the report interval.
     fn report_all(&mut self, tail_ms: u32) {
         for worker in 1..=self.workers {
             self.now_ms +=
@@ -220,21 +221,21 @@
             workers: vec![self.report_of(worker, tail_ms)],
         });
         let Ok(frame) = encode_frame(&report, FRAME_MAX_BYTES) else { return };
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut frames = FrameDecoder::new(FRAME_MAX_BYTES);
         frames.push(&frame);
-        // What was just encoded is read back.
+        // Decodes the frame that was just encoded.
         let Ok(Some(Message::NodeReport(report))) = frames.next_frame() else { return };
         self.dispatcher.on_report(&self.workflows, report, &[], self.now());
-        self.reports.push(began.elapsed());
+        self.report_times.push(started_at.elapsed());
         self.turn();
     }
 
     fn report_of(&self, worker: u64, tail_ms: u32) -> WorkerReport {
         let name = format_compact!("worker-{worker}");
         let id = self.workflows.workers().find(node(worker), &name);
-        let placed = id.and_then(|it| self.workflows.workers().get(it));
-        let running = placed.iter().flat_map(|it| &it.runs).map(|run| {
+        let known_worker = id.and_then(|it| self.workflows.workers().get(it));
+        let running = known_worker.iter().flat_map(|it| &it.runs).map(|run| {
             let is_filler = self.workflows.step_of(run.task).is_some_and(|it| it.filler);
             let load = if is_filler { 3_000 } else { tail_ms };
             RunningTask {
@@ -264,21 +265,21 @@
         }
     }
 
-    /// Ends a turn; what it wants in the ledger is there at once.
+    /// Ends a turn, and applies its commands at once.
     fn turn(&mut self) {
         loop {
             let plans = self.dispatcher.plan_count();
-            let began = Instant::now();
+            let started_at = Instant::now();
             let output = self.dispatcher.finish_turn(&self.workflows, &[], self.now());
             if plans < self.dispatcher.plan_count() {
-                self.plans.push(began.elapsed());
+                self.plan_times.push(started_at.elapsed());
             }
             for (_, message) in &output.messages {
-                let began = Instant::now();
-                // Encoded as for the link; only the time counts here.
+                let started_at = Instant::now();
+                // Encoded as for the link, only to measure the time.
                 let _ = encode_frame(message, FRAME_MAX_BYTES);
-                if let Some(it) = self.reports.last_mut() {
-                    *it += began.elapsed();
+                if let Some(it) = self.report_times.last_mut() {
+                    *it += started_at.elapsed();
                 }
             }
             if output.commands.is_empty() {
@@ -347,12 +348,12 @@
     }
 }
 
-/// Returns the median and what 99 of 100 stay below, in microseconds.
+/// Returns the median and the 99th percentile, in microseconds.
 fn percentiles_us(times: &mut [Duration]) -> (f64, f64) {
     times.sort_unstable();
-    let at = |percent: usize| {
+    let percentile = |percent: usize| {
         let it = times.get((times.len() * percent / 100).min(times.len().saturating_sub(1)));
         it.map_or(0.0, |it| it.as_secs_f64() * 1e6)
     };
-    (at(50), at(99))
+    (percentile(50), percentile(99))
 }
--- a/src/bench/mod.rs
+++ b/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements on one machine, from small parts of the real system.
+//! Benchmarks of parts of the system on one machine.
 
 pub mod batch;
 pub mod capacity;
--- a/src/cli/arguments.rs
+++ b/src/cli/arguments.rs
@@ -1,10 +1,10 @@
-//! The command line's words, each taken once.
+//! Command-line parsing: each argument is removed when it is read.
 
 use std::str::FromStr;
 
 use crate::cli::Failure;
 
-/// What is left of the command line.
+/// The arguments that have not been read yet.
 pub(super) struct Arguments {
     inner: pico_args::Arguments,
 }
@@ -14,22 +14,22 @@
         Arguments { inner: pico_args::Arguments::from_env() }
     }
 
-    /// Takes the next word as a command.
+    /// Reads the next positional argument as a command.
     pub(super) fn subcommand(&mut self) -> Result<Option<String>, Failure> {
         self.inner.subcommand().map_err(usage)
     }
 
-    /// Takes `--help`.
+    /// Reads `-h` or `--help`.
     pub(super) fn wants_help(&mut self) -> bool {
         self.inner.contains(["-h", "--help"])
     }
 
-    /// Takes a flag without a value.
+    /// Reads a flag without a value.
     pub(super) fn flag(&mut self, name: &'static str) -> bool {
         self.inner.contains(name)
     }
 
-    /// Takes a flag with a value, if it is there.
+    /// Reads an optional flag with a value.
     pub(super) fn optional<T: FromStr<Err: std::fmt::Display>>(
         &mut self,
         name: &'static str,
@@ -37,7 +37,7 @@
         self.inner.opt_value_from_str(name).map_err(usage)
     }
 
-    /// Takes a flag with a value.
+    /// Reads a required flag with a value.
     pub(super) fn required<T: FromStr<Err: std::fmt::Display>>(
         &mut self,
         name: &'static str,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Takes a flag whose value is a list separated by commas.
+    /// Reads a flag whose value is a comma-separated list.
     pub(super) fn list<T: FromStr<Err: std::fmt::Display>>(
         &mut self,
         name: &'static str,
@@ -60,39 +60,40 @@
         text.split(',').filter(|it| !it.trim().is_empty()).map(parse).collect()
     }
 
-    /// Takes the next word that is no flag.
-    pub(super) fn word(&mut self, what: &str) -> Result<String, Failure> {
-        let taken: Option<String> = self.inner.opt_free_from_str().map_err(usage)?;
-        match taken {
+    /// Reads the next positional argument.
+    pub(super) fn positional(&mut self, name: &str) -> Result<String, Failure> {
+        let word: Option<String> = self.inner.opt_free_from_str().map_err(usage)?;
+        match word {
             Some(it) if it.starts_with('-') => Err(Failure::Usage(format!("unknown flag {it}"))),
             Some(it) => Ok(it),
-            None => Err(self.missing(what)),
+            None => Err(self.missing(name)),
         }
     }
 
-    /// Returns the failure for something missing, or for the unknown flag that was given instead.
-    pub(super) fn missing(&self, what: &str) -> Failure {
+    /// Returns the failure for a missing argument; also names an unknown flag if one was given.
+    pub(super) fn missing(&self, name: &str) -> Failure {
         let rest = self.inner.clone().finish();
         let flag = rest.iter().map(|it| it.to_string_lossy()).find(|it| it.starts_with('-'));
         match flag {
-            Some(it) => Failure::Usage(format!("unknown flag {it} ({what} is missing)")),
-            None => Failure::Usage(format!("{what} is missing")),
+            Some(it) => Failure::Usage(format!("unknown flag {it} ({name} is missing)")),
+            None => Failure::Usage(format!("{name} is missing")),
         }
     }
 
-    /// Refuses whatever was not taken.
+    /// Returns an error if any argument has not been read.
     pub(super) fn finish(self) -> Result<(), Failure> {
         match self.inner.finish().first() {
             None => Ok(()),
             Some(it) => {
                 let it = it.to_string_lossy();
-                let what = if it.starts_with('-') { "unknown flag" } else { "one word too many:" };
-                Err(Failure::Usage(format!("{what} {it}")))
+                let problem =
+                    if it.starts_with('-') { "unknown flag" } else { "unexpected argument" };
+                Err(Failure::Usage(format!("{problem} {it}")))
             }
         }
     }
 }
 
-fn usage(it: pico_args::Error) -> Failure {
-    Failure::Usage(it.to_string())
+fn usage(error: pico_args::Error) -> Failure {
+    Failure::Usage(error.to_string())
 }
--- a/src/cli/bench.rs
+++ b/src/cli/bench.rs
@@ -1,4 +1,4 @@
-//! Measurements.
+//! Benchmark commands.
 
 use std::path::PathBuf;
 
@@ -12,20 +12,20 @@
 };
 
 const HELP: &str = "\
-aspenrail bench: measurements on this machine, from small parts of the real system
+aspenrail bench: benchmarks of parts of the system on this machine
 
   capacity [--vms 10,100,680,2000] [--tasks 15000,50000]
-      what a control leader costs by VMs and tasks, with fitted slopes
+      cost of a control leader by VMs and tasks, with fitted slopes
   commits --folder DIR [--commits 2000] [--bytes 200]
-      commits a second by batch size on the disk that holds DIR, and recovery by log length
+      commits per second by batch size on the disk of DIR, and recovery time by log length
   batch [--seeds 5] [--seconds 3600] [--only VARIANT]
-      what each decision about batch work earns, in virtual time
+      effect of each scheduling option on batch work, in virtual time
   dispatch [--workers 30,100,300,1000,2000] [--waiting 100,1000,20000]
-      what the leader of workflows costs for each report and each plan, by workers and by tasks
-      that wait for room
+      cost of the workflow leader for each report and each plan, by workers and by tasks that
+      wait for capacity
   quick [--seconds 5]
-      quick requests through one entry beside direct calls of the same endpoints, then with one
-      slow, one failing and one leaving endpoint
+      quick requests through one entry compared with direct calls of the same endpoints, then with
+      one slow, one failing and one leaving endpoint
 ";
 
 pub(super) fn run(mut arguments: Arguments) -> Result<(), Failure> {
@@ -63,7 +63,7 @@
             arguments.finish()?;
             if seeds == 0 {
                 return Err(Failure::Usage(
-                    "--seeds: 0 is out of range, 1 is the least".to_owned(),
+                    "--seeds: 0 is out of range, the minimum is 1".to_owned(),
                 ));
             }
             bench::batch::run(seeds, seconds, only.as_deref());
@@ -77,7 +77,9 @@
                 if workers.is_empty() { vec![30, 100, 300, 1_000, 2_000] } else { workers };
             let waiting = if waiting.is_empty() { vec![100, 1_000, 20_000] } else { waiting };
             if workers.iter().any(|it| !(1..=60_000).contains(it)) {
-                return Err(Failure::Usage("--workers: each is 1 to 60000".to_owned()));
+                return Err(Failure::Usage(
+                    "--workers: each value must be in the range 1 to 60000".to_owned(),
+                ));
             }
             bench::dispatch::run(&workers, &waiting);
             Ok(())
@@ -87,20 +89,18 @@
             arguments.finish()?;
             quick(seconds)
         }
-        other => {
-            Err(Failure::Usage(format!("unknown measurement '{}'", other.unwrap_or_default())))
-        }
+        other => Err(Failure::Usage(format!("unknown benchmark '{}'", other.unwrap_or_default()))),
     }
 }
 
-/// Measures quick requests in an installation of threads on loopback.
+/// Measures quick requests in an installation whose processes are threads, on loopback.
 fn quick(seconds: u64) -> Result<(), Failure> {
-    let unique = format!("aspenrail-bench-{}-{:x}", std::process::id(), fastrand::u32(..));
-    let folder = std::env::temp_dir().join(unique);
+    let unique_name = format!("aspenrail-bench-{}-{:x}", std::process::id(), fastrand::u32(..));
+    let folder = std::env::temp_dir().join(unique_name);
     let layout = Layout::create(&folder, Counts { controls: 1, entries: 1, agents: 4 }, "")?;
     let running = dev::start_all(&layout)?;
     dev::prepare(&layout)?;
-    let through = LoadOptions {
+    let via_entry = LoadOptions {
         targets: layout.callers.clone(),
         token: TEAM_TOKEN.into(),
         class: "quick".into(),
@@ -112,27 +112,27 @@
         idempotent: true,
     };
     let executors = layout.vms.iter().map(|it| it.executor).collect();
-    let direct = LoadOptions { targets: executors, direct: true, ..through.clone() };
-    let unbounded = LoadOptions { rate: 0, callers: 32, ..through.clone() };
+    let direct = LoadOptions { targets: executors, direct: true, ..via_entry.clone() };
+    let unbounded = LoadOptions { rate: 0, callers: 32, ..via_entry.clone() };
     let print = |name: &str, load: &LoadOptions| println!("{name}: {}", run_load(load).to_json());
     print("direct, 400 a second", &direct);
-    print("through the entry, 400 a second", &through);
+    print("through the entry, 400 a second", &via_entry);
     print(
         "direct, as fast as answered by 32 callers",
         &LoadOptions { rate: 0, callers: 32, ..direct.clone() },
     );
     print("through the entry, as fast as answered by 32 callers", &unbounded);
     running.executors[0].set_work_ms(40);
-    print("one endpoint of four twenty times slower", &through);
+    print("one endpoint of four twenty times slower", &via_entry);
     running.executors[0].set_work_ms(2);
-    // The entry's own zone holds the first and the fourth; the others are a hop away.
+    // The first and the fourth endpoint are in the entry's zone; the others are in other zones.
     running.executors[3].set_fail_permille(1_000);
-    print("one endpoint of four failing", &through);
+    print("one endpoint of four failing", &via_entry);
     running.executors[3].set_fail_permille(0);
     running.executors[0].leave();
-    print("one endpoint of four leaving", &through);
+    print("one endpoint of four leaving", &via_entry);
     running.stop();
-    // What stays behind in the temporary folder does no harm.
+    // Files left in the temporary folder are harmless.
     let _ = std::fs::remove_dir_all(&folder);
     Ok(())
 }
--- a/src/cli/dev.rs
+++ b/src/cli/dev.rs
@@ -1,4 +1,4 @@
-//! All roles as threads of one process, to show the main job on one machine.
+//! Demonstration on one machine: runs all roles as threads of one process.
 
 use std::{
     path::PathBuf,
@@ -24,17 +24,17 @@
 };
 
 const HELP: &str = "\
-aspenrail dev: 3 control, 2 entry and 6 agent processes as threads of this one, with stand-in
-endpoints and workers on loopback; shows quick requests, a job and a change of configuration
+aspenrail dev: 3 control, 2 entry and 6 agent processes as threads of this one, with simulated
+endpoints and workers on loopback; runs quick requests, a job and a configuration change
 
-  --stay          goes on running until it is interrupted, and prints the addresses
-  --folder DIR    keeps settings and data there instead of in a new temporary folder
+  --stay          keeps running until it is interrupted, and prints the addresses
+  --folder DIR    stores settings and data in DIR instead of a temporary folder
 ";
 
 pub(super) const COUNTS: Counts = Counts { controls: 3, entries: 2, agents: 6 };
 
-/// Longest time that any step of the show may take.
-const STEP_MAX: Duration = Duration::from_secs(20);
+/// Longest time that a step of the demonstration may take.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(super) fn run(mut arguments: Arguments) -> Result<(), Failure> {
     if arguments.wants_help() {
@@ -45,13 +45,13 @@
     let folder = arguments.optional::<PathBuf>("--folder")?;
     arguments.finish()?;
     logs::start("warn");
-    let kept = folder.is_some();
-    let unique = format!("aspenrail-dev-{}-{:x}", std::process::id(), fastrand::u32(..));
-    let folder = folder.unwrap_or_else(|| std::env::temp_dir().join(unique));
+    let keeps_folder = folder.is_some();
+    let unique_name = format!("aspenrail-dev-{}-{:x}", std::process::id(), fastrand::u32(..));
+    let folder = folder.unwrap_or_else(|| std::env::temp_dir().join(unique_name));
     let layout = Layout::create(&folder, COUNTS, "")?;
     let running = start_all(&layout)?;
-    let shown = show(&layout);
-    if stay && shown.is_ok() {
+    let outcome = demonstrate(&layout);
+    if stay && outcome.is_ok() {
         println!("\ncallers' API: {:?}, token {TEAM_TOKEN}", layout.callers);
         println!("administration: {:?}, token {OPERATOR_TOKEN}", layout.admins);
         println!("interrupt to end");
@@ -64,11 +64,11 @@
         }
     }
     running.stop();
-    if !kept {
-        // What stays behind in the temporary folder does no harm.
+    if !keeps_folder {
+        // Files left in the temporary folder are harmless.
         let _ = std::fs::remove_dir_all(&folder);
     }
-    shown
+    outcome
 }
 
 /// The processes of an installation, as threads.
@@ -78,17 +78,17 @@
 }
 
 impl Running {
-    /// Stops every process and waits for its end.
+    /// Stops every process and waits until it has ended.
     pub(super) fn stop(self) {
         self.processes.iter().for_each(|(handle, _)| handle.stop());
         for (_, it) in self.processes {
-            // A thread that panicked has printed why.
+            // A thread that panicked has already printed the reason.
             let _ = it.join();
         }
     }
 }
 
-/// Starts every process of a layout as a thread, with its stand-ins.
+/// Starts every process of a layout as a thread, and its simulated workers and endpoints.
 pub(super) fn start_all(layout: &Layout) -> Result<Running, Failure> {
     let capacity = Resources { cpu_millicores: 64_000, memory_mib: 250_000, accelerators: 0 };
     let mut executors = Vec::new();
@@ -115,8 +115,9 @@
             }
         };
         let thread = thread::Builder::new().name("core".to_owned()).spawn(run);
-        let thread = thread
-            .map_err(|it| Error::report(ErrorKind::Internal, format_compact!("no thread: {it}")))?;
+        let thread = thread.map_err(|it| {
+            Error::report(ErrorKind::Internal, format_compact!("cannot start a thread: {it}"))
+        })?;
         processes.push((handle, thread));
     }
     Ok(Running { processes, executors })
@@ -137,12 +138,12 @@
         };
         layout.callers.iter().all(ready).then_some(())
     })?;
-    // The directory reaches the entries with their next heartbeat.
+    // The entries receive the endpoint directory with their next heartbeat.
     thread::sleep(Duration::from_millis(1_200));
     Ok(revision)
 }
 
-fn show(layout: &Layout) -> Result<(), Failure> {
+fn demonstrate(layout: &Layout) -> Result<(), Failure> {
     let operator = Operator::new(layout.admins.clone(), OPERATOR_TOKEN);
     let revision = prepare(layout)?;
     println!(
@@ -165,7 +166,7 @@
     if report.answered == 0 || report.mismatched != 0 {
         return Err(Error::report(
             ErrorKind::Internal,
-            "quick requests were not answered as they should",
+            "no quick request was answered, or an answer differed from its request",
         )
         .into());
     }
@@ -177,7 +178,7 @@
     let changed = operator
         .post("configuration", &json!({"based_on": revision, "key": "dev-2", "change": change}))?;
     let revision = changed["revision"].as_u64().unwrap_or(0);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     wait_until("the change is in force everywhere", || {
         let status = operator.get("status").ok()?;
         let rows = ["members", "entries", "vms"]
@@ -189,7 +190,7 @@
     })?;
     println!(
         "4. class quick changed; revision {revision} in force everywhere after {} ms",
-        begun.elapsed().as_millis()
+        started_at.elapsed().as_millis()
     );
     Ok(())
 }
@@ -211,10 +212,10 @@
         json!({"PutClass": quick_class(50)}),
         json!({"PutClass": batch}),
     ];
-    for (at, change) in changes.iter().enumerate() {
-        revision = wait_until("control takes a change", || {
+    for (index, change) in changes.iter().enumerate() {
+        revision = wait_until("control accepts a change", || {
             let body =
-                json!({"based_on": revision, "key": format!("dev-1-{at}"), "change": change});
+                json!({"based_on": revision, "key": format!("dev-1-{index}"), "change": change});
             operator.post("configuration", &body).ok()?["revision"].as_u64()
         })?;
     }
@@ -237,7 +238,7 @@
         "resources": {"cpu_millicores": 1_000, "memory_mib": 512, "accelerators": 0},
         "payload": "{\"run_ms\": 300, \"result\": \"graded\"}",
     });
-    let failed = |what: String| Failure::from(Error::report(ErrorKind::Internal, what));
+    let failed = |message: String| Failure::from(Error::report(ErrorKind::Internal, message));
     let mut response = client
         .post(format!("http://{}/v1/jobs", layout.callers[0]))
         .header("Authorization", &authorization)
@@ -245,7 +246,7 @@
         .map_err(|it| failed(it.to_string()))?;
     let accepted: Value = response.body_mut().read_json().map_err(|it| failed(it.to_string()))?;
     let Some(job) = accepted["job"].as_u64() else {
-        return Err(failed(format!("not accepted: {accepted}")));
+        return Err(failed(format!("job was not accepted: {accepted}")));
     };
     let mut response = client
         .get(format!("http://{}/v1/jobs/{job}/result?wait_ms=15000", layout.callers[1]))
@@ -259,16 +260,16 @@
     Ok(result.to_string())
 }
 
-fn wait_until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> Result<T, Failure> {
-    let begun = Instant::now();
+fn wait_until<T>(condition: &str, mut poll: impl FnMut() -> Option<T>) -> Result<T, Failure> {
+    let started_at = Instant::now();
     loop {
-        if let Some(it) = look() {
+        if let Some(it) = poll() {
             return Ok(it);
         }
-        if STEP_MAX < begun.elapsed() {
+        if STEP_TIMEOUT < started_at.elapsed() {
             return Err(Error::report(
                 ErrorKind::Internal,
-                format_compact!("waited in vain until {what}"),
+                format_compact!("timed out waiting until {condition}"),
             )
             .into());
         }
--- a/src/cli/logs.rs
+++ b/src/cli/logs.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs for each event.
+//! Logging: one line of key=value pairs for each event.
 
 use std::{
     fmt, io,
@@ -45,21 +45,22 @@
 
 /// Starts logging to standard output; `ASPENRAIL_LOG` overrides the level.
 ///
-/// A reader that is slow never holds the process up: lines that find no room are dropped, and
-/// how many were is written once there is room again.
+/// A slow reader never blocks the process: lines that cannot be written at once are dropped, and
+/// their number is logged when writes succeed again.
 pub fn start_to_stdout(level: &str) {
     let stdout = io::stdout();
-    let opened = fcntl_getfl(&stdout).and_then(|it| fcntl_setfl(&stdout, it | OFlags::NONBLOCK));
+    let nonblocking_result =
+        fcntl_getfl(&stdout).and_then(|it| fcntl_setfl(&stdout, it | OFlags::NONBLOCK));
     start_to(level, || DroppingStdout);
-    if let Err(error) = opened {
+    if let Err(error) = nonblocking_result {
         tracing::warn!(event = "log_may_block", %error);
     }
 }
 
-/// Lines dropped since the last one that found room.
+/// Number of dropped lines that has not been logged yet.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Standard output that drops what it cannot take at once.
+/// Standard output that drops lines that cannot be written at once.
 struct DroppingStdout;
 
 impl io::Write for DroppingStdout {
@@ -74,7 +75,7 @@
         if rustix::io::write(io::stdout(), line).is_err() {
             DROPPED.fetch_add(1, Ordering::Relaxed);
         }
-        // A line cut short is not completed: the rest would wait for the reader.
+        // A partially written line is not completed: the rest would have to wait for the reader.
         Ok(line.len())
     }
 
@@ -94,6 +95,6 @@
         .with_writer(writer)
         .with_ansi(false)
         .event_format(KeyValueLine);
-    // Fails only where logging was started before, as in `dev`.
+    // Fails only if logging is already initialized, as in `dev`.
     let _ = subscriber.try_init();
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,7 +1,7 @@
 //! The command line.
 //!
-//! Exit codes: 0 done; 1 refused or failed; 2 the command line is wrong; 3 the settings are
-//! wrong; 4 a planned stop ran out of time or was cut short.
+//! Exit codes: 0 success; 1 refused or failed; 2 invalid command line; 3 invalid settings; 4 a
+//! planned stop exceeded its time limit or was cut short.
 
 mod arguments;
 mod bench;
@@ -21,12 +21,12 @@
 aspenrail: a scheduler that colocates latency-critical and batch work on one set of VMs
 
 USAGE
-  aspenrail run FILE                        run the roles that a settings file names
+  aspenrail run FILE                        run the roles of a settings file
   aspenrail check-config FILE               check a settings file without starting
   aspenrail init FILE [--member N --founders ID@ADDR,...] [--join]
-                                            make the data folder of a control member, once
-  aspenrail settings-page                   print the page on all settings
-  aspenrail dev [--stay] [--folder DIR]     show the main job on this machine
+                                            create the data folder of a control member, once
+  aspenrail settings-page                   print the reference page of all settings
+  aspenrail dev [--stay] [--folder DIR]     demonstrate all roles on this machine
 
 OPERATOR COMMANDS (each takes --control ADDR[,ADDR...], --token-file FILE and --json)
   aspenrail status                          members, revisions, VMs, queue, targets
@@ -37,28 +37,28 @@
   aspenrail drain VM [--undo]
   aspenrail evacuate ZONE [--undo]
 
-TRYING OUT
+LOCAL TESTS AND BENCHMARKS
   aspenrail stand-in layout|worker|executor|load [--help]
-  aspenrail bench NAME                      measurements; aspenrail bench --help lists them
+  aspenrail bench NAME                      benchmarks; aspenrail bench --help lists them
 
-Each command takes --help. Exit codes: 0 done, 1 refused or failed, 2 wrong command line,
-3 wrong settings, 4 a planned stop was cut short.
+Each command takes --help. Exit codes: 0 success, 1 refused or failed, 2 invalid command
+line, 3 invalid settings, 4 a planned stop was cut short.
 ";
 
 /// Why a command ended without success.
 pub(crate) enum Failure {
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage(String),
-    /// The settings are wrong.
+    /// The settings are invalid.
     Settings(Vec<crate::config::SettingsProblem>),
     Failed(error_stack::Report<Error>),
-    /// Told already; only the exit code is left.
-    Told(u8),
+    /// The error has already been printed or logged; carries the exit code.
+    Reported(u8),
 }
 
 impl From<error_stack::Report<Error>> for Failure {
-    fn from(it: error_stack::Report<Error>) -> Failure {
-        Failure::Failed(it)
+    fn from(report: error_stack::Report<Error>) -> Failure {
+        Failure::Failed(report)
     }
 }
 
@@ -80,18 +80,18 @@
             eprintln!("aspenrail: {report:?}");
             ExitCode::FAILURE
         }
-        Err(Failure::Told(code)) => ExitCode::from(code),
+        Err(Failure::Reported(code)) => ExitCode::from(code),
     }
 }
 
 fn dispatch(mut arguments: Arguments) -> Result<(), Failure> {
     let Some(command) = arguments.subcommand()? else {
-        // Without a command only --help is left to ask for.
+        // Without a command, only `--help` is valid.
         if arguments.wants_help() {
             print!("{HELP}");
             return Ok(());
         }
-        return Err(Failure::Usage("no command is given".to_owned()));
+        return Err(Failure::Usage("no command given".to_owned()));
     };
     match command.as_str() {
         "run" => roles::run(arguments),
@@ -99,7 +99,7 @@
         "init" => roles::init(arguments),
         "settings-page" => {
             if arguments.wants_help() {
-                println!("aspenrail settings-page: prints the page on all settings");
+                println!("aspenrail settings-page: prints the reference page of all settings");
                 return Ok(());
             }
             arguments.finish()?;
--- a/src/cli/operator.rs
+++ b/src/cli/operator.rs
@@ -11,8 +11,8 @@
 };
 
 const HELP: &str = "\
-Operator commands take --control ADDR[,ADDR...] (administration addresses; a dead one among them is
-passed over), --token-file FILE (its first line is the token; or the environment variable
+Operator commands take --control ADDR[,ADDR...] (administration addresses; one that does not answer
+is skipped), --token-file FILE (its first line is the token; the default is the environment variable
 ASPENRAIL_TOKEN) and --json.
 
   aspenrail status
@@ -21,15 +21,15 @@
   aspenrail configure --based-on N --key K --change JSON
                               CHANGE is {\"PutTeam\":{...}}, {\"PutClass\":{...}},
                               {\"DeleteTeam\":NAME} or {\"DeleteClass\":NAME}; N is the revision that
-                              you saw; a resend with the same key gets the first answer
+                              you read; a retry with the same key gets the first answer
   aspenrail member add ID@ADDR | promote ID | remove ID
   aspenrail drain VM [--undo]
   aspenrail evacuate ZONE [--undo]
-                              nothing more is begun in the availability zone, or it is taken back;
-                              show evacuations lists the zones out of use, with who and since when
+                              starts no new work in the availability zone; --undo reverts this;
+                              show evacuations lists the evacuated zones, with operator and time
 ";
 
-/// What an operator command needs to reach control.
+/// A client of the administration API.
 pub(super) struct Operator {
     controls: Vec<SocketAddr>,
     token: String,
@@ -53,7 +53,7 @@
             answer
         }
         "show" => {
-            let view = arguments.word("the view")?;
+            let view = arguments.positional("the view")?;
             arguments.finish()?;
             operator.get(&view)?
         }
@@ -63,7 +63,7 @@
             let change: String = arguments.required("--change")?;
             arguments.finish()?;
             let change: Value = serde_json::from_str(&change)
-                .map_err(|it| Failure::Usage(format!("--change is no JSON: {it}")))?;
+                .map_err(|it| Failure::Usage(format!("--change is not valid JSON: {it}")))?;
             operator.post(
                 "configuration",
                 &json!({"based_on": based_on, "key": key, "change": change}),
@@ -76,15 +76,15 @@
         }
         "evacuate" => {
             let undo = arguments.flag("--undo");
-            let zone = arguments.word("the availability zone")?;
+            let zone = arguments.positional("the availability zone")?;
             arguments.finish()?;
-            let seen = operator.get("evacuations")?;
-            let body = json!({"zone": zone, "evacuated": !undo, "based_on": seen["revision"]});
+            let current = operator.get("evacuations")?;
+            let body = json!({"zone": zone, "evacuated": !undo, "based_on": current["revision"]});
             operator.post("evacuations", &body)?
         }
         _ => {
             let undo = arguments.flag("--undo");
-            let vm_name = arguments.word("the VM")?;
+            let vm_name = arguments.positional("the VM")?;
             arguments.finish()?;
             operator.post("drain", &json!({"vm_name": vm_name, "draining": !undo}))?
         }
@@ -121,7 +121,7 @@
         Ok(Operator { controls, token })
     }
 
-    /// Reads a view.
+    /// Returns a view.
     pub(super) fn get(&self, view: &str) -> Result<Value, Failure> {
         self.call(|client, control| {
             let request = client.get(format!("http://{control}/v1/admin/{view}"));
@@ -142,13 +142,13 @@
         send: impl Fn(&ureq::Agent, SocketAddr) -> Result<ureq::http::Response<ureq::Body>, ureq::Error>,
     ) -> Result<Value, Failure> {
         let client = new_client(1);
-        let mut last = String::new();
+        let mut last_error = String::new();
         for control in &self.controls {
-            // Repeating at another address is safe: changes carry a key or set a state.
+            // A retry at another address is safe: changes carry an idempotency key or set a state.
             let mut response = match send(&client, *control) {
                 Ok(it) => it,
                 Err(error) => {
-                    last = format!("{control}: {error}");
+                    last_error = format!("{control}: {error}");
                     continue;
                 }
             };
@@ -158,16 +158,16 @@
                 return Ok(document);
             }
             if response.status() == 503 {
-                last = format!("{control}: {document}");
+                last_error = format!("{control}: {document}");
                 continue;
             }
             eprintln!("aspenrail: {}", document["detail"].as_str().unwrap_or("refused"));
             println!("{document}");
-            return Err(Failure::Told(1));
+            return Err(Failure::Reported(1));
         }
         Err(Error::report(
             ErrorKind::ControlUnavailable,
-            format!("no control process answered; last: {last}"),
+            format!("no control process answered; last error: {last_error}"),
         )
         .into())
     }
@@ -175,43 +175,44 @@
 
 /// Parses `ID@ADDRESS`.
 pub(super) fn parse_member(text: &str) -> Result<Member, Failure> {
-    let bad = || Failure::Usage(format!("'{text}' is not ID@ADDRESS, such as 4@10.0.0.4:7000"));
-    let (id, address) = text.split_once('@').ok_or_else(bad)?;
+    let invalid =
+        || Failure::Usage(format!("'{text}': expected ID@ADDRESS, such as 4@10.0.0.4:7000"));
+    let (id, address) = text.split_once('@').ok_or_else(invalid)?;
     Ok(Member {
-        id: MemberId(id.parse().map_err(|_| bad())?),
-        address: address.parse().map_err(|_| bad())?,
+        id: MemberId(id.parse().map_err(|_| invalid())?),
+        address: address.parse().map_err(|_| invalid())?,
     })
 }
 
 fn member_change(arguments: &mut Arguments) -> Result<MemberChange, Failure> {
-    let verb = arguments.word("add, promote or remove")?;
-    let subject = arguments.word("the member")?;
+    let action = arguments.positional("add, promote or remove")?;
+    let member = arguments.positional("the member")?;
     let id = || {
-        let id = subject.parse().map(MemberId);
-        id.map_err(|_| Failure::Usage(format!("'{subject}' is not a member's number")))
+        let id = member.parse().map(MemberId);
+        id.map_err(|_| Failure::Usage(format!("'{member}': expected the number of a member")))
     };
-    match verb.as_str() {
-        "add" => Ok(MemberChange::Add(parse_member(&subject)?)),
+    match action.as_str() {
+        "add" => Ok(MemberChange::Add(parse_member(&member)?)),
         "promote" => Ok(MemberChange::Promote(id()?)),
         "remove" => Ok(MemberChange::Remove(id()?)),
-        other => Err(Failure::Usage(format!("'{other}' is not add, promote or remove"))),
+        other => Err(Failure::Usage(format!("'{other}': expected add, promote or remove"))),
     }
 }
 
-/// Returns the status as tables that an operator reads at a glance.
-fn status_table(it: &Value) -> String {
+/// Formats the status as tables.
+fn status_table(status: &Value) -> String {
     let mut res = format!(
         "accepted revision {}   leader {}   term {}   committed {}   snapshot at {}\njobs {}   tasks {}   claims {}   \
          watches {}\n",
-        it["accepted_revision"],
-        it["leader"],
-        it["term"],
-        it["committed_index"],
-        it["snapshot_index"],
-        it["jobs"],
-        it["tasks"],
-        it["claims"],
-        it["watches"]
+        status["accepted_revision"],
+        status["leader"],
+        status["term"],
+        status["committed_index"],
+        status["snapshot_index"],
+        status["jobs"],
+        status["tasks"],
+        status["claims"],
+        status["watches"]
     );
     let sections = [
         (
@@ -244,7 +245,7 @@
         ),
     ];
     for (title, key, columns) in sections {
-        res.push_str(&table(title, it[key].as_array().map_or(&[], Vec::as_slice), columns));
+        res.push_str(&table(title, status[key].as_array().map_or(&[], Vec::as_slice), columns));
     }
     res
 }
--- a/src/cli/roles.rs
+++ b/src/cli/roles.rs
@@ -1,4 +1,4 @@
-//! Running and preparing a process.
+//! Commands that run a process, check its settings or create its data folder.
 
 use std::path::{Path, PathBuf};
 
@@ -12,22 +12,22 @@
 };
 
 const RUN_HELP: &str = "\
-aspenrail run FILE: runs the roles that a settings file names
+aspenrail run FILE: runs the roles of a settings file
 
-SIGTERM or SIGINT begins a planned stop: nothing new is taken, what is in flight ends, leadership
-is handed over; at the latest after process.drain_max_ms the process ends. A second signal ends it
-at once. Exit code 4 says that the stop was cut short.
+SIGTERM or SIGINT starts a planned stop: no new work is accepted, work in flight is finished, and
+leadership is transferred. The process exits after process.drain_max_ms at the latest; a second
+signal makes it exit at once. Exit code 4 means that the stop was cut short.
 ";
 
 const INIT_HELP: &str = "\
-aspenrail init FILE: makes the data folder of the control role in a settings file, once
+aspenrail init FILE: creates the data folder of the control role of a settings file, once
 
-  --member N --founders ID@ADDR,...   a founding member N (above 0) and all founders; the same list
-                                      on every founder, with the link addresses
-  --join                              a new member of a running group, under a new identity;
-                                      add it then with aspenrail member add
+  --member N --founders ID@ADDR,...   a founding member N (above 0) and all founders with their link
+                                      addresses; the list must be the same on every founder
+  --join                              a new member of a running group, with a new identity; add it
+                                      with aspenrail member add afterwards
 
-A disk that was lost comes back with --join, never under its old number.
+A member that lost its disk must return with --join, never under its old number.
 ";
 
 pub(super) fn run(mut arguments: Arguments) -> Result<(), Failure> {
@@ -35,7 +35,7 @@
         print!("{RUN_HELP}");
         return Ok(());
     }
-    let path = PathBuf::from(arguments.word("the settings file")?);
+    let path = PathBuf::from(arguments.positional("the settings file")?);
     arguments.finish()?;
     let settings = load_settings(&path).map_err(Failure::Settings)?;
     logs::start(&settings.process.log_level);
@@ -43,8 +43,8 @@
     forward_signals(process.handle())?;
     match process.run()? {
         ExitReason::Drained => Ok(()),
-        ExitReason::CutOff => Err(Failure::Told(4)),
-        ExitReason::Failed => Err(Failure::Told(1)),
+        ExitReason::CutOff => Err(Failure::Reported(4)),
+        ExitReason::Failed => Err(Failure::Reported(1)),
     }
 }
 
@@ -53,7 +53,7 @@
         println!("aspenrail check-config FILE: checks a settings file without starting");
         return Ok(());
     }
-    let path = PathBuf::from(arguments.word("the settings file")?);
+    let path = PathBuf::from(arguments.positional("the settings file")?);
     arguments.finish()?;
     load_settings(&path).map_err(Failure::Settings)?;
     println!("{} is in order", path.display());
@@ -65,26 +65,26 @@
         print!("{INIT_HELP}");
         return Ok(());
     }
-    let joins = arguments.flag("--join");
+    let is_joining = arguments.flag("--join");
     let member: Option<u64> = arguments.optional("--member")?;
     let founders: Vec<String> = arguments.list("--founders")?;
-    let path = PathBuf::from(arguments.word("the settings file")?);
+    let path = PathBuf::from(arguments.positional("the settings file")?);
     arguments.finish()?;
-    // The folder is what is missing yet, so that alone is no problem here.
+    // The check of the settings requires an existing data folder, so the folder is created first.
     let text = std::fs::read_to_string(&path).unwrap_or_default();
     let folder = ini::Ini::load_from_str(&text)
         .ok()
         .and_then(|it| it.get_from(Some("control"), "data_folder").map(PathBuf::from))
         .ok_or_else(|| {
-            Failure::Usage(format!("{} names no control data_folder", path.display()))
+            Failure::Usage(format!("{}: section [control] sets no data_folder", path.display()))
         })?;
     let create = |it: &Path| std::fs::create_dir_all(it);
     create(&folder)
-        .map_err(|it| Failure::Usage(format!("cannot make {}: {it}", folder.display())))?;
+        .map_err(|it| Failure::Usage(format!("cannot create {}: {it}", folder.display())))?;
     let settings = load_settings(&path).map_err(Failure::Settings)?;
     let group_id =
         Place { region: settings.process.region as u8, group: settings.process.group as u8 };
-    let identity = match (joins, member) {
+    let identity = match (is_joining, member) {
         (true, None) if founders.is_empty() => Identity {
             member: MemberId(fastrand::u64(1 << 20..1 << 53)),
             group_id,
@@ -95,15 +95,17 @@
                 founders.iter().map(|it| super::operator::parse_member(it)).collect();
             let founders = founders?;
             if !founders.iter().any(|it| it.id.0 == member && it.address == settings.link.listen) {
-                let message =
-                    format!("--founders does not list member {member} at {}", settings.link.listen);
+                let message = format!(
+                    "--founders does not contain member {member} at {}",
+                    settings.link.listen
+                );
                 return Err(Failure::Usage(message));
             }
             Identity { member: MemberId(member), group_id, founders }
         }
         _ => {
             return Err(Failure::Usage(
-                "give either --join, or --member N with --founders".to_owned(),
+                "expected either --join, or --member N (above 0) with --founders".to_owned(),
             ));
         }
     };
--- a/src/cli/standin.rs
+++ b/src/cli/standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' commands.
+//! Commands of the simulated workers, endpoints and callers.
 
 use std::{net::SocketAddr, path::PathBuf, thread};
 
@@ -15,13 +15,13 @@
 };
 
 const HELP: &str = "\
-aspenrail stand-in: small stand-ins for trying out, on loopback
+aspenrail stand-in: simulated workers, endpoints and callers for local tests, on loopback
 
   layout --folder DIR [--controls 3] [--entries 2] [--agents 6]
-      writes the settings of an installation, and prints its addresses
+      writes the settings of an installation and prints its addresses
   worker --listen ADDR [--cpu-millicores 64000] [--memory-mib 250000] [--broken]
   executor --listen ADDR --agent ADDR --class NAME [--slots 8] [--connections 60] [--work-ms 2]
-      [--fail-permille 0]       SIGTERM lets it leave before it ends
+      [--fail-permille 0]       on SIGTERM, leaves its agent before it exits
   load --targets ADDR,... --token TOKEN --class NAME [--callers 8] [--rate 0] [--seconds 5]
       [--deadline-ms 1000] [--direct] [--not-idempotent]
 ";
@@ -49,15 +49,15 @@
         agents: arguments.optional("--agents")?.unwrap_or(6),
     };
     arguments.finish()?;
-    let it = Layout::create(&folder, counts, "")?;
-    let vms: Vec<_> = it
+    let layout = Layout::create(&folder, counts, "")?;
+    let vms: Vec<_> = layout
         .vms
         .iter()
         .map(|it| serde_json::json!({"local": it.local, "worker": it.worker, "executor": it.executor}))
         .collect();
     let document = serde_json::json!({
-        "control_files": it.control_files, "entry_files": it.entry_files, "agent_files": it.agent_files,
-        "admins": it.admins, "callers": it.callers, "vms": vms,
+        "control_files": layout.control_files, "entry_files": layout.entry_files, "agent_files": layout.agent_files,
+        "admins": layout.admins, "callers": layout.callers, "vms": vms,
     });
     println!("{document:#}");
     Ok(())
@@ -90,10 +90,10 @@
     };
     arguments.finish()?;
     logs::start("info");
-    let seen = start_executor(options)?;
+    let executor = start_executor(options)?;
     wait_for_signal(|| {
-        seen.leave();
-        // Long enough for the announcing thread to tell its agent, and for what is in flight.
+        executor.leave();
+        // Long enough for the announcing thread to notify its agent and for requests in flight.
         thread::sleep(std::time::Duration::from_millis(2_500));
     })
 }
@@ -118,7 +118,7 @@
     Ok(())
 }
 
-fn wait_for_signal(before_end: impl FnOnce()) -> Result<(), Failure> {
+fn wait_for_signal(before_exit: impl FnOnce()) -> Result<(), Failure> {
     let signals = signal_hook::iterator::Signals::new([
         signal_hook::consts::SIGTERM,
         signal_hook::consts::SIGINT,
@@ -126,6 +126,6 @@
     let mut signals =
         signals.map_err(|it| Failure::Usage(format!("cannot handle signals: {it}")))?;
     signals.forever().next();
-    before_end();
+    before_exit();
     Ok(())
 }
--- a/src/standin/layout.rs
+++ b/src/standin/layout.rs
@@ -1,4 +1,4 @@
-//! Settings of a whole installation on loopback.
+//! Settings files of an installation on loopback.
 
 use std::{
     fs,
@@ -20,7 +20,7 @@
 /// Token of the operator `demo`.
 pub const OPERATOR_TOKEN: &str = "demo-operator-token-0001";
 
-/// How many processes of each role an installation has.
+/// Number of processes of each role.
 #[derive(Clone, Copy, Debug)]
 pub struct Counts {
     pub controls: usize,
@@ -36,7 +36,7 @@
     pub executor: SocketAddr,
 }
 
-/// An installation laid out in a folder.
+/// Settings files and addresses of an installation.
 #[derive(Clone, Debug)]
 pub struct Layout {
     pub folder: PathBuf,
@@ -51,12 +51,12 @@
 impl Layout {
     /// Writes the settings files and data folders of an installation.
     ///
-    /// `timing` is added to the control section, such as shorter leases for a test.
+    /// `control_settings` is appended to the `[control]` section, for example shorter leases.
     ///
     /// # Errors
     ///
-    /// Returns an error when a file cannot be written.
-    pub fn create(folder: &Path, counts: Counts, timing: &str) -> Result<Layout> {
+    /// Returns an error if a file cannot be written or no address is free.
+    pub fn create(folder: &Path, counts: Counts, control_settings: &str) -> Result<Layout> {
         let links = free_addresses(counts.controls)?;
         let control_list = links.iter().map(SocketAddr::to_string).collect::<Vec<_>>().join(", ");
         fs::create_dir_all(folder).change_context_lazy(|| cannot_write(folder))?;
@@ -76,12 +76,12 @@
         let founders: Vec<_> = links
             .iter()
             .enumerate()
-            .map(|(at, it)| Member { id: MemberId(at as u64 + 1), address: *it })
+            .map(|(index, it)| Member { id: MemberId(index as u64 + 1), address: *it })
             .collect();
-        for (at, link) in links.iter().enumerate() {
-            let data = folder.join(format!("control-{}", at + 1));
+        for (index, link) in links.iter().enumerate() {
+            let data = folder.join(format!("control-{}", index + 1));
             let identity = Identity {
-                member: MemberId(at as u64 + 1),
+                member: MemberId(index as u64 + 1),
                 group_id: Place { region: 1, group: 1 },
                 founders: founders.clone(),
             };
@@ -89,48 +89,49 @@
             let text = format!(
                 "[process]\nname = control-{n}\nroles = control\nzone = zone-{zone}\n\n[link]\nlisten = {link}\ncontrol = \
                  {control_list}\n\n[control]\nlisten = {admin}\ndata_folder = {data}\noperators_file = \
-                 {operators}\n{timing}",
-                n = at + 1,
-                zone = at % 3 + 1,
-                admin = res.admins[at],
+                 {operators}\n{control_settings}",
+                n = index + 1,
+                zone = index % 3 + 1,
+                admin = res.admins[index],
                 data = data.display(),
                 operators = operators.display(),
             );
-            res.control_files.push(write(&folder.join(format!("control-{}.ini", at + 1)), &text)?);
+            res.control_files
+                .push(write(&folder.join(format!("control-{}.ini", index + 1)), &text)?);
         }
-        for (at, link) in free_addresses(counts.entries)?.iter().enumerate() {
+        for (index, link) in free_addresses(counts.entries)?.iter().enumerate() {
             let text = format!(
                 "[process]\nname = entry-{n}\nroles = entry\nzone = zone-{zone}\n\n[link]\nlisten = {link}\ncontrol = \
                  {control_list}\n\n[entry]\nlisten = {caller}\nteams_file = {teams}\n",
-                n = at + 1,
-                zone = at % 3 + 1,
-                caller = res.callers[at],
+                n = index + 1,
+                zone = index % 3 + 1,
+                caller = res.callers[index],
                 teams = teams.display(),
             );
-            res.entry_files.push(write(&folder.join(format!("entry-{}.ini", at + 1)), &text)?);
+            res.entry_files.push(write(&folder.join(format!("entry-{}.ini", index + 1)), &text)?);
         }
-        for (at, link) in free_addresses(counts.agents)?.iter().enumerate() {
+        for (index, link) in free_addresses(counts.agents)?.iter().enumerate() {
             let [local, worker, executor] = free_addresses(3)?[..] else { continue };
             res.vms.push(VmAddresses { local, worker, executor });
             let text = format!(
                 "[process]\nname = agent-{n}\nroles = agent\nzone = zone-{zone}\nrack = rack-{rack}\n\n[link]\nlisten = \
                  {link}\ncontrol = {control_list}\n\n[agent]\nlisten = {local}\nvm = vm-{n}\nworker = \
                  {worker}\ncpu_millicores = 64000\nmemory_mib = 250000\n",
-                n = at + 1,
-                zone = at % 3 + 1,
-                rack = at / 3 + 1,
+                n = index + 1,
+                zone = index % 3 + 1,
+                rack = index / 3 + 1,
             );
-            res.agent_files.push(write(&folder.join(format!("agent-{}.ini", at + 1)), &text)?);
+            res.agent_files.push(write(&folder.join(format!("agent-{}.ini", index + 1)), &text)?);
         }
         Ok(res)
     }
 }
 
-/// Reads a settings file that was written here.
+/// Reads a settings file written by [`Layout::create`].
 ///
 /// # Errors
 ///
-/// Returns an error when it does not pass the checks.
+/// Returns an error if the settings are invalid.
 pub fn read_settings(path: &Path) -> Result<Settings> {
     load_settings(path).map_err(|problems| {
         let text: Vec<_> = problems.iter().map(ToString::to_string).collect();
@@ -138,15 +139,15 @@
     })
 }
 
-/// Ports below those that the system gives to outgoing connections, which could otherwise take
-/// one between its choice and its use.
+/// Ports below the range for outgoing connections, so that no such connection takes a port after
+/// it was chosen and before it is used.
 const PORTS: std::ops::Range<u32> = 10_000..32_000;
 
-/// Returns loopback addresses that were free a moment ago, different ones at every call.
+/// Returns loopback addresses that were free when checked; each call returns different ones.
 ///
 /// # Errors
 ///
-/// Returns an error when none can be had.
+/// Returns an error if fewer than `count` addresses are free.
 pub fn free_addresses(count: usize) -> Result<Vec<SocketAddr>> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let width = PORTS.end - PORTS.start;
@@ -158,13 +159,13 @@
         }
         let offset = start.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % width;
         let address = SocketAddr::from(([127, 0, 0, 1], (PORTS.start + offset) as u16));
-        // Asked by a connection, not by binding: a process that is being forked at this moment
-        // would keep a bound socket open a little longer.
+        // Checks by connecting, not by binding: a process forked at this moment would inherit a
+        // bound socket and keep it open for a short time.
         if TcpStream::connect(address).is_err() {
             res.push(address);
         }
     }
-    Err(Error::report(ErrorKind::Internal, "no free address on loopback"))
+    Err(Error::report(ErrorKind::Internal, "too few free addresses on loopback"))
 }
 
 fn write(path: &Path, text: &str) -> Result<PathBuf> {
--- a/src/standin/load.rs
+++ b/src/standin/load.rs
@@ -1,4 +1,4 @@
-//! Callers in numbers: quick requests at a rate, with every answer checked.
+//! A load generator: sends quick requests at a fixed rate and checks every answer.
 
 use std::{
     collections::BTreeMap,
@@ -13,7 +13,7 @@
 
 use crate::{http::client::new_client, prelude::*};
 
-/// What a load is made of.
+/// Options of a load.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
     /// Entries, or endpoints where `direct` is set.
@@ -21,31 +21,32 @@
     pub token: CompactString,
     pub class: CompactString,
     pub callers: usize,
-    /// Requests a second over all callers; 0 for as fast as they are answered.
+    /// Requests per second of all callers together; with 0, a caller sends its next request
+    /// as soon as the last one is answered.
     pub rate: u64,
     pub seconds: u64,
     pub deadline_ms: u32,
-    /// Sends to the endpoints themselves, as a baseline.
+    /// Sends requests directly to the endpoints, as a baseline.
     pub direct: bool,
     pub idempotent: bool,
 }
 
-/// What came of a load.
+/// Results of a load.
 #[derive(Clone, Debug)]
 pub struct LoadReport {
     pub answered: u64,
     pub mismatched: u64,
-    /// Requests that got no answer at all, such as when their entry was killed.
+    /// Requests without any answer, for example because their entry was killed.
     pub unanswered: u64,
     pub errors: BTreeMap<String, u64>,
-    /// Bodies of the requests that were told "not run".
+    /// Bodies of the requests whose refusal says that they did not run.
     pub refused_not_run: Vec<String>,
     pub elapsed: Duration,
     latencies_us: Histogram<u64>,
 }
 
 impl LoadReport {
-    /// Returns an answer time at a quantile, in microseconds.
+    /// Returns a quantile of the answer times, in microseconds.
     pub fn quantile_us(&self, quantile: f64) -> u64 {
         self.latencies_us.value_at_quantile(quantile)
     }
@@ -65,7 +66,7 @@
     }
 }
 
-/// Runs a load and waits for its end.
+/// Runs a load and waits until it has ended.
 pub fn run_load(options: &LoadOptions) -> LoadReport {
     let latencies_us =
         Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are constant and valid");
@@ -79,19 +80,19 @@
         latencies_us,
     };
     let report = Arc::new(Mutex::new(report));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let callers: Vec<_> = (0..options.callers)
         .map(|caller| {
             let (options, report) = (options.clone(), report.clone());
-            thread::spawn(move || call_until_end(caller, &options, &report, begun))
+            thread::spawn(move || call_until_end(caller, &options, &report, started_at))
         })
         .collect();
     for it in callers {
-        // A caller that panicked has printed why; its numbers are missing from the report.
+        // A caller that panicked has printed the reason; its later requests are not in the report.
         let _ = it.join();
     }
     let mut res = report.lock().unwrap_or_else(PoisonError::into_inner).clone();
-    res.elapsed = begun.elapsed();
+    res.elapsed = started_at.elapsed();
     res
 }
 
@@ -99,28 +100,28 @@
     caller: usize,
     options: &LoadOptions,
     report: &Mutex<LoadReport>,
-    begun: Instant,
+    started_at: Instant,
 ) {
     let client = new_client(4);
-    let end = begun + Duration::from_secs(options.seconds);
+    let end = started_at + Duration::from_secs(options.seconds);
     let interval = match options.rate {
         0 => Duration::ZERO,
         rate => Duration::from_secs_f64(options.callers as f64 / rate as f64),
     };
-    let mut due = begun + interval.mul_f64(caller as f64 / options.callers as f64);
+    let mut due = started_at + interval.mul_f64(caller as f64 / options.callers as f64);
     for number in 0_u64.. {
         let now = Instant::now();
         if end <= now.max(due) {
             return;
         }
         thread::sleep(due.saturating_duration_since(now));
-        // Counted from when it was due: a slow answer must not hide the requests behind it.
-        let since = if interval.is_zero() { Instant::now() } else { due };
+        // Measured from the due time: a slow answer must not hide the delay of later requests.
+        let start = if interval.is_zero() { Instant::now() } else { due };
         due += interval;
         let target = options.targets[(caller + number as usize) % options.targets.len()];
         let body = format!("caller-{caller}-{number}-{:x}", fastrand::u64(..));
         let outcome = call(&client, options, target, &body);
-        let elapsed_us = since.elapsed().as_micros() as u64;
+        let elapsed_us = start.elapsed().as_micros() as u64;
         let mut report = report.lock().unwrap_or_else(PoisonError::into_inner);
         match outcome {
             Ok(echo) if echo == body => {
@@ -140,7 +141,7 @@
     }
 }
 
-/// Sends one request; returns what it echoes, the refusal, or nothing without an answer.
+/// Sends one request. Returns the echoed body, or the refusal, which is `None` without an answer.
 fn call(
     client: &ureq::Agent,
     options: &LoadOptions,
@@ -152,14 +153,14 @@
     } else {
         format!("v1/quick/{}/check", options.class)
     };
-    let sent = client
+    let result = client
         .post(format!("http://{target}/{path}"))
         .header("Authorization", format!("Bearer {}", options.token))
         .header("Aspenrail-Deadline-Ms", options.deadline_ms.to_string())
         .header("Aspenrail-Idempotent", options.idempotent.to_string())
         .header("Idempotency-Key", body)
         .send(body);
-    let mut response = sent.map_err(|_| None)?;
+    let mut response = result.map_err(|_| None)?;
     let status = response.status();
     let text = response.body_mut().read_to_string().map_err(|_| None)?;
     let document: Value = serde_json::from_str(&text).map_err(|_| None)?;
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins of the systems that aspenrail serves: workers, endpoints and callers.
+//! Simulated workers, endpoints and callers, for local trials and tests on one machine.
 //!
-//! They speak the protocols of docs/PLATFORM.md and docs/API.md and no more, for trying things
-//! out on one machine and for tests. Nothing here is part of a deployment.
+//! They implement only the protocols of docs/PLATFORM.md and docs/API.md. Nothing here is part of
+//! a deployment.
 
 pub mod executor;
 pub mod layout;
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -1,4 +1,4 @@
-//! A worker over HTTP.
+//! A simulated worker over HTTP.
 
 use std::{
     net::SocketAddr,
@@ -27,18 +27,18 @@
     permille: Option<u32>,
 }
 
-/// Starts a worker.
+/// Starts a simulated worker.
 ///
 /// # Errors
 ///
-/// Returns an error when the address cannot be listened on.
+/// Returns an error if the worker cannot listen on its address.
 pub fn start_worker(listen: SocketAddr, model: WorkerModel) -> Result<()> {
     let model = Arc::new(Mutex::new(model));
     let pending = Pending::default();
     let options =
         ServerOptions { listen, threads: 2, body_max_bytes: 1 << 20, headers_max_bytes: 16 * 1024 };
-    start_server(options, &pending, move |_, it| {
-        let call = match it.and_then(|it| parse(&it)) {
+    start_server(options, &pending, move |_, request| {
+        let call = match request.and_then(|it| parse(&it)) {
             Ok(it) => it,
             Err(it) => return Some(HttpAnswer::refusal(&it)),
         };
@@ -47,26 +47,26 @@
         Some(match result {
             WorkerResult::Done => HttpAnswer::json(200, &serde_json::json!({"done": true})),
             WorkerResult::Report(it) => HttpAnswer::json(200, &serde_json::json!(it)),
-            WorkerResult::Refused(why) | WorkerResult::Failed(why) => {
-                HttpAnswer::text(409, "text/plain", why.into())
+            WorkerResult::Refused(detail) | WorkerResult::Failed(detail) => {
+                HttpAnswer::text(409, "text/plain", detail.into())
             }
         })
     })
 }
 
-fn parse(it: &HttpRequest) -> Result<WorkerCall, Refusal> {
-    let parts: Vec<_> = it.path.trim_matches('/').split('/').collect();
-    match (it.method.as_str(), parts.as_slice()) {
+fn parse(request: &HttpRequest) -> Result<WorkerCall, Refusal> {
+    let parts: Vec<_> = request.path.trim_matches('/').split('/').collect();
+    match (request.method.as_str(), parts.as_slice()) {
         ("GET", ["v1", "tasks"]) => Ok(WorkerCall::List),
         ("POST", ["v1", "lease"]) => {
-            let LeaseBody { session, until_boottime_ms } = it.json()?;
+            let LeaseBody { session, until_boottime_ms } = request.json()?;
             Ok(WorkerCall::Lease { session, until_boottime_ms })
         }
-        ("POST", ["v1", "tasks", task, verb]) => {
+        ("POST", ["v1", "tasks", task, action]) => {
             let task =
                 task.parse().map(TaskId).map_err(|_| refusal(ErrorKind::BadRequest, "bad task"))?;
-            let TaskBody { session, incarnation, start, permille } = it.json()?;
-            match (*verb, start, permille) {
+            let TaskBody { session, incarnation, start, permille } = request.json()?;
+            match (*action, start, permille) {
                 ("start", Some(start), _) => {
                     Ok(WorkerCall::Start { session, task, incarnation, start })
                 }
--- a/src/standin/worker_model.rs
+++ b/src/standin/worker_model.rs
@@ -1,4 +1,4 @@
-//! A worker's behaviour, without its HTTP.
+//! Behaviour of the simulated worker, without HTTP.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,8 @@
     prelude::*,
 };
 
-/// What a task of the stand-in does, read from its payload; anything else runs for a second.
+/// Behaviour of a simulated task, read from its payload. It runs for 1 s if the payload is not such
+/// a document or has no `run_ms`.
 #[derive(Clone, Debug, Default, serde::Deserialize)]
 #[serde(default)]
 pub struct Script {
@@ -21,20 +22,20 @@
 struct Run {
     task: WorkerTask,
     script: Script,
-    /// Work done, which a throttle slows.
+    /// Work done; grows with the time multiplied by `rate`.
     done_ms: f64,
     rate: f64,
-    seen_ms: u64,
+    advanced_to_ms: u64,
 }
 
-/// One worker.
+/// A simulated worker.
 #[derive(Clone, Debug)]
 pub struct WorkerModel {
     capacity: Resources,
     session: SessionId,
     lease_until_ms: u64,
     runs: BTreeMap<TaskId, Run>,
-    /// Incarnations that must not start any more.
+    /// Latest incarnation of each task that must not start any more.
     fences: BTreeMap<TaskId, u32>,
     /// Fails every task that it starts.
     pub broken: bool,
@@ -42,7 +43,7 @@
 }
 
 impl WorkerModel {
-    /// Makes a worker of a VM with this capacity.
+    /// Returns a worker on a VM with this capacity.
     pub fn new(capacity: Resources) -> WorkerModel {
         WorkerModel {
             capacity,
@@ -55,13 +56,13 @@
         }
     }
 
-    /// Returns the incarnations that run now.
+    /// Returns the running tasks with their incarnations.
     pub fn running(&self) -> impl Iterator<Item = (TaskId, u32)> {
         let running = self.runs.values().filter(|it| is_running(it.task.phase));
         running.map(|it| (it.task.task, it.task.incarnation))
     }
 
-    /// Returns what the running tasks hold.
+    /// Returns the resources of the running tasks.
     pub fn held(&self) -> Resources {
         self.runs
             .values()
@@ -70,7 +71,7 @@
             .fold(NO_RESOURCES, add)
     }
 
-    /// Follows a call at a time.
+    /// Handles a call at a time.
     pub fn call(&mut self, now_ms: u64, call: &WorkerCall) -> WorkerResult {
         self.advance(now_ms);
         match call {
@@ -117,12 +118,12 @@
         }
     }
 
-    /// Lets time pass: tasks end, and all of them stop when the lease does.
+    /// Advances the time: tasks end, and all running tasks stop when the lease expires.
     pub fn advance(&mut self, now_ms: u64) {
         let until_ms = now_ms.min(self.lease_until_ms);
         for run in self.runs.values_mut().filter(|it| is_running(it.task.phase)) {
-            run.done_ms += until_ms.saturating_sub(run.seen_ms) as f64 * run.rate;
-            run.seen_ms = run.seen_ms.max(until_ms);
+            run.done_ms += until_ms.saturating_sub(run.advanced_to_ms) as f64 * run.rate;
+            run.advanced_to_ms = run.advanced_to_ms.max(until_ms);
             run.task.run_ms = run.done_ms as u64;
             let run_ms = run.script.run_ms.unwrap_or(1_000) as f64;
             if run.script.fail && run_ms <= run.done_ms {
@@ -139,9 +140,12 @@
     }
 
     fn report(&self) -> WorkerReport {
-        let held = self.held();
-        let usage =
-            Usage { cpu_millicores: held.cpu_millicores, memory_mib: held.memory_mib, age_ms: 500 };
+        let reserved = self.held();
+        let usage = Usage {
+            cpu_millicores: reserved.cpu_millicores,
+            memory_mib: reserved.memory_mib,
+            age_ms: 500,
+        };
         WorkerReport {
             session: self.session,
             tasks: self.runs.values().map(|it| it.task.clone()).collect(),
@@ -175,7 +179,7 @@
         }
         self.starts += 1;
         let script: Script = serde_json::from_str(&start.payload).unwrap_or_default();
-        let kept_ms =
+        let checkpoint_run_ms =
             start.checkpoint.strip_prefix("at-").and_then(|it| it.parse::<u64>().ok()).unwrap_or(0);
         let phase = if self.broken { TaskPhase::Failed } else { TaskPhase::Running };
         let detail =
@@ -186,13 +190,13 @@
                 incarnation,
                 phase,
                 detail,
-                run_ms: kept_ms,
+                run_ms: checkpoint_run_ms,
                 resources: start.resources,
             },
             script,
-            done_ms: kept_ms as f64,
+            done_ms: checkpoint_run_ms as f64,
             rate: 1.0,
-            seen_ms: now_ms,
+            advanced_to_ms: now_ms,
         };
         self.runs.insert(task, run);
         WorkerResult::Done
@@ -202,7 +206,7 @@
         if session < self.session {
             return refused("an older session");
         }
-        // Also an incarnation never seen is fenced: its start may still be on its way.
+        // An unknown incarnation is fenced as well: its start call may still be in transit.
         let fence = self.fences.entry(task).or_insert(0);
         *fence = (*fence).max(incarnation);
         let run = self.runs.entry(task).or_insert_with(|| Run {
@@ -217,7 +221,7 @@
             script: Script::default(),
             done_ms: 0.0,
             rate: 1.0,
-            seen_ms: 0,
+            advanced_to_ms: 0,
         });
         if run.task.incarnation <= incarnation && is_running(run.task.phase) {
             run.task.phase = TaskPhase::Stopped;
@@ -245,10 +249,10 @@
     }
 }
 
-fn is_running(it: TaskPhase) -> bool {
-    matches!(it, TaskPhase::Starting | TaskPhase::Running | TaskPhase::Checkpointing)
+fn is_running(phase: TaskPhase) -> bool {
+    matches!(phase, TaskPhase::Starting | TaskPhase::Running | TaskPhase::Checkpointing)
 }
 
-fn refused(why: &str) -> WorkerResult {
-    WorkerResult::Refused(why.into())
+fn refused(detail: &str) -> WorkerResult {
+    WorkerResult::Refused(detail.into())
 }
