--- a/tests/workflows/capacity.rs
+++ b/tests/workflows/capacity.rs
@@ -1,4 +1,4 @@
-//! Workers whose capacity shrinks and grows while they run.
+//! Workers whose capacity decreases and increases while they run.
 
 use aspenrail::prelude::*;
 
@@ -16,10 +16,10 @@
 
 const QUICK: Nature = Nature { work_ms: 600, fails_every: 0, crash: None };
 
-/// Makes workers that start whatever they are told, so that only the leader guards their room.
-fn unguarded(seed: u64, workers: usize) -> World {
+/// Creates workers that accept all starts, so that only the leader limits what runs on them.
+fn world_without_capacity_checks(seed: u64, workers: usize) -> World {
     let mut world = World::new(seed, 3, workers);
-    world.nodes.iter_mut().for_each(|it| it.worker.guards = false);
+    world.nodes.iter_mut().for_each(|it| it.worker.checks_capacity = false);
     world.install_queue();
     world
 }
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_worker_that_has_shrunk_is_not_filled_beyond_what_is_left() {
-    let mut world = unguarded(31, 2);
+    let mut world = world_without_capacity_checks(31, 2);
     resize(&mut world, 0, 4);
     world.run_for(4_000);
     for id in 1..=20 {
@@ -50,21 +50,21 @@
 
 #[test]
 fn a_worker_that_has_grown_is_used_within_a_report() {
-    let mut world = unguarded(32, 1);
+    let mut world = world_without_capacity_checks(32, 1);
     resize(&mut world, 0, 2);
     world.run_for(4_000);
     world.submit(1, spec(vec![step(1, 8, &[])]), QUICK);
     world.run_for(1_000);
     assert_eq!(world.rules.starts, 0);
     resize(&mut world, 0, 16);
-    // An announcement each 500 ms, a commit, and the order.
+    // An announcement interval of 500 ms, a commit and the order.
     world.run_for(600);
     assert_eq!(world.rules.starts, 1);
 }
 
 #[test]
 fn a_new_leader_has_the_newest_capacity() {
-    let mut world = unguarded(33, 1);
+    let mut world = world_without_capacity_checks(33, 1);
     resize(&mut world, 0, 4);
     world.run_for(4_000);
     let leader = world.leader();
@@ -77,10 +77,10 @@
     assert_unbroken(&world);
 }
 
-/// Work goes on at half the size, and nothing that runs is thrown away when a worker shrinks.
+/// Runs must not be stopped when the capacity of their worker decreases below what they use.
 #[test]
 fn what_runs_on_a_worker_that_shrinks_goes_on() {
-    let mut world = unguarded(34, 1);
+    let mut world = world_without_capacity_checks(34, 1);
     world.submit(1, spec(vec![step(8, 2, &[])]), Nature { work_ms: 5_000, ..QUICK });
     world.run_for(1_000);
     resize(&mut world, 0, 4);
@@ -91,7 +91,7 @@
 }
 
 fn play(seed: u64) -> World {
-    let mut world = unguarded(seed, 5);
+    let mut world = world_without_capacity_checks(seed, 5);
     for id in 1..=30 {
         let work_ms = world.random.u64(100..2_500);
         let steps = vec![step(6, 2, &[]), step(3, 3, &[0])];
--- a/tests/workflows/days.rs
+++ b/tests/workflows/days.rs
@@ -1,4 +1,4 @@
-//! Days on which users' trouble came together, in small.
+//! Combinations of faults that users met on one day, at a small scale.
 
 use aspenrail::prelude::*;
 
@@ -13,8 +13,8 @@
     assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
 }
 
-/// Tasks of one kind of work crash the workers that start them, which are back under their ids, and
-/// the leader that orders them is lost: they are given up, and all else is done.
+/// The tasks of some workflows crash their workers, which restart under the same ids, and the leader
+/// is lost meanwhile. These workflows must be given up, and all others completed.
 #[yare::parameterized(early = { 3_000 }, late = { 7_000 })]
 fn tasks_crash_their_workers_while_the_leader_is_lost(lost_after_ms: u64) {
     let mut world = World::new(51, 3, 8);
@@ -22,9 +22,9 @@
     world.keeps_ids = Some(true);
     world.install_queue();
     let crash = Some(Crash { index: 0, after_ms: 10 });
-    let crashes = |id: u64| id.is_multiple_of(10);
+    let crashes_workers = |id: u64| id.is_multiple_of(10);
     for id in 1..=30 {
-        let nature = if crashes(id) { Nature { crash, ..QUICK } } else { QUICK };
+        let nature = if crashes_workers(id) { Nature { crash, ..QUICK } } else { QUICK };
         world.submit(id, spec(vec![step(4, 1, &[])]), nature);
         world.run_for(350);
         if id == lost_after_ms / 350 {
@@ -35,7 +35,7 @@
     world.run_for(30_000);
     assert_unbroken(&world);
     for id in 1..=30 {
-        let expected = match crashes(id) {
+        let expected = match crashes_workers(id) {
             true => WorkflowPhase::Failed,
             false => WorkflowPhase::Completed,
         };
@@ -43,12 +43,12 @@
     }
 }
 
-/// A quarter of the workers has about half of its room for a while, and more work than usual comes:
-/// nothing is overfilled, and all is done.
+/// A quarter of the workers has about half of its capacity or less for a while, and more work than
+/// usual arrives: no worker is overcommitted, and all workflows are completed.
 #[yare::parameterized(half = { 9 }, little = { 4 })]
 fn workers_shrink_while_much_work_comes(cores: u32) {
     let mut world = World::new(52, 3, 8);
-    world.nodes.iter_mut().for_each(|it| it.worker.guards = false);
+    world.nodes.iter_mut().for_each(|it| it.worker.checks_capacity = false);
     world.install_queue();
     let resize = |world: &mut World, cores: u32| {
         let now_ms = world.now_ms;
--- a/tests/workflows/evacuations.rs
+++ b/tests/workflows/evacuations.rs
@@ -1,4 +1,4 @@
-//! Availability zones taken out of use and back, under faults.
+//! Availability zones that are evacuated and reopened, under faults.
 
 use aspenrail::{gateway::GatewayAnswer, prelude::*};
 
@@ -14,8 +14,8 @@
 /// First seed of the long run.
 const LONG_FROM: u64 = 300_000;
 
-/// Time after the acknowledgement within which a start may still come through, as the users ask.
-const EVACUATE_MS: u64 = 5_000;
+/// Time after the acknowledgement within which runs may still start in the zone, as users require.
+const START_GRACE_MS: u64 = 5_000;
 
 const QUICK: Nature = Nature { work_ms: 300, fails_every: 0, crash: None };
 
@@ -28,8 +28,8 @@
     })
 }
 
-/// Asks until the change is acknowledged, as an operator does, for some time.
-fn change(world: &mut World, zone: &str, evacuated: bool) -> bool {
+/// Requests a change up to 12 times, as an operator does. Returns whether it was acknowledged.
+fn change_zone(world: &mut World, zone: &str, evacuated: bool) -> bool {
     for _ in 0..12 {
         let token = world.request(request(zone, evacuated));
         world.run_for(500);
@@ -40,25 +40,24 @@
     false
 }
 
-fn zones_out(world: &mut World) -> Vec<CompactString> {
+fn read_evacuated_zones(world: &mut World) -> Vec<CompactString> {
     for _ in 0..20 {
         let token = world.request(WorkflowRequest::ReadEvacuations);
         world.run_for(500);
-        if let Some(GatewayAnswer::Outcome(WorkflowOutcome::Evacuations(it))) =
+        if let Some(GatewayAnswer::Outcome(WorkflowOutcome::Evacuations(evacuations))) =
             world.answers.get(&token)
         {
-            return it.zones.iter().map(|it| it.zone.clone()).collect();
+            return evacuations.zones.iter().map(|it| it.zone.clone()).collect();
         }
     }
-    panic!("nobody answers");
+    panic!("no answer after 20 requests for the evacuated zones");
 }
 
-/// Plays work and faults while zones go out of use and come back, one after the other or two at
-/// once.
+/// Runs work and faults while zones are evacuated and reopened, at most two at a time.
 fn play(seed: u64) -> World {
     let mut world = World::new(seed, 3, 6);
     world.install_queue();
-    let mut out: Vec<CompactString> = Vec::new();
+    let mut evacuated_zones: Vec<CompactString> = Vec::new();
     let mut accepted = Vec::new();
     for id in 1..=25 {
         let work_ms = world.random.u64(100..1_500);
@@ -68,18 +67,21 @@
             world.submit(id, spec(steps), Nature { work_ms, fails_every: 0, crash: None }),
         ));
         disturb(&mut world);
-        let at = world.random.usize(0..3);
-        let zone = zone_of(at);
-        match out.iter().position(|it| *it == zone) {
-            Some(at) if world.random.bool() => {
-                world.rules.zone_closes(&zone, None);
-                out.remove(at);
-                change(&mut world, &zone, false);
+        let vm = world.random.usize(0..3);
+        let zone = zone_of(vm);
+        match evacuated_zones.iter().position(|it| *it == zone) {
+            Some(index) if world.random.bool() => {
+                world.rules.set_zone_closed(&zone, None);
+                evacuated_zones.remove(index);
+                change_zone(&mut world, &zone, false);
             }
-            None if out.len() < 2 && world.random.bool() && change(&mut world, &zone, true) => {
-                let from_ms = world.now_ms + EVACUATE_MS;
-                world.rules.zone_closes(&zone, Some(from_ms));
-                out.push(zone);
+            None if evacuated_zones.len() < 2
+                && world.random.bool()
+                && change_zone(&mut world, &zone, true) =>
+            {
+                let from_ms = world.now_ms + START_GRACE_MS;
+                world.rules.set_zone_closed(&zone, Some(from_ms));
+                evacuated_zones.push(zone);
             }
             _ => (),
         }
@@ -89,25 +91,25 @@
     world.cut.clear();
     world.late_percent = 0;
     world.run_for(15_000);
-    for zone in &out {
-        let known = zones_out(&mut world);
+    for zone in &evacuated_zones {
+        let known = read_evacuated_zones(&mut world);
         if !known.contains(zone) {
-            world
-                .rules
-                .broken
-                .push(format!("{zone} was taken out of use, and is not in {known:?}"));
+            world.rules.broken.push(format!("{zone} was evacuated, but is not in {known:?}"));
         }
     }
-    for zone in out {
-        world.rules.zone_closes(&zone, None);
-        assert!(change(&mut world, &zone, false), "nobody takes {zone} back");
+    for zone in evacuated_zones {
+        world.rules.set_zone_closed(&zone, None);
+        assert!(
+            change_zone(&mut world, &zone, false),
+            "the reopening of {zone} was not acknowledged"
+        );
     }
     world.run_for(25_000);
     for (id, token) in accepted {
         if world.answers.get(&token) == Some(&GatewayAnswer::Outcome(WorkflowOutcome::Accepted))
             && world.phase(id) != Some(WorkflowPhase::Completed)
         {
-            world.rules.broken.push(format!("workflow {id} was accepted and is not done"));
+            world.rules.broken.push(format!("workflow {id} was accepted but is not completed"));
         }
     }
     world
@@ -137,13 +139,13 @@
 fn what_is_ordered_and_not_begun_is_withdrawn_and_done_elsewhere() {
     let mut world = World::new(11, 3, 3);
     world.install_queue();
-    // No order comes through: all starts of the workers get no answer, and come late or never.
+    // All orders to the workers get no answer, and are executed late or never.
     world.late_percent = 100;
     world.submit(1, spec(vec![step(3, 6, &[])]), QUICK);
     world.run_for(300);
-    assert!(change(&mut world, "zone-0", true));
-    let from_ms = world.now_ms + EVACUATE_MS;
-    world.rules.zone_closes("zone-0", Some(from_ms));
+    assert!(change_zone(&mut world, "zone-0", true));
+    let from_ms = world.now_ms + START_GRACE_MS;
+    world.rules.set_zone_closed("zone-0", Some(from_ms));
     world.late_percent = 0;
     world.run_for(15_000);
     assert_eq!(world.phase(1), Some(WorkflowPhase::Completed));
@@ -155,13 +157,13 @@
     let mut world = World::new(17, 3, 3);
     world.install_queue();
     world.loses_orders = true;
-    // Two tasks fill a worker, so that some are ordered in each zone.
+    // Two tasks fill a worker, so that starts are ordered in each zone.
     world.submit(1, spec(vec![step(6, 7, &[])]), QUICK);
     world.run_for(300);
-    assert!(change(&mut world, "zone-0", true));
-    let from_ms = world.now_ms + EVACUATE_MS;
-    world.rules.zone_closes("zone-0", Some(from_ms));
-    world.run_for(EVACUATE_MS + 500);
+    assert!(change_zone(&mut world, "zone-0", true));
+    let from_ms = world.now_ms + START_GRACE_MS;
+    world.rules.set_zone_closed("zone-0", Some(from_ms));
+    world.run_for(START_GRACE_MS + 500);
     world.loses_orders = false;
     world.run_for(5_000);
     assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
@@ -178,10 +180,10 @@
         Nature { work_ms: 6_000, fails_every: 0, crash: None },
     );
     world.run_for(1_000);
-    assert!(change(&mut world, "zone-0", true));
+    assert!(change_zone(&mut world, "zone-0", true));
     world.run_for(8_000);
     assert_eq!(world.phase(1), Some(WorkflowPhase::Completed));
-    assert_eq!(world.rules.starts, 1, "it was not begun again");
+    assert_eq!(world.rules.starts, 1, "the run was started again");
 }
 
 #[test]
@@ -189,12 +191,12 @@
     let mut world = World::new(13, 3, 3);
     world.install_queue();
     for vm in 0..3 {
-        assert!(change(&mut world, &zone_of(vm), true));
+        assert!(change_zone(&mut world, &zone_of(vm), true));
     }
     world.submit(1, spec(vec![step(3, 1, &[])]), QUICK);
     world.run_for(6_000);
     assert_eq!(world.phase(1), Some(WorkflowPhase::Queued));
-    assert!(change(&mut world, "zone-2", false));
+    assert!(change_zone(&mut world, "zone-2", false));
     world.run_for(3_000);
     assert_eq!(world.phase(1), Some(WorkflowPhase::Completed));
 }
@@ -203,21 +205,21 @@
 fn evacuations_survive_the_loss_of_all_members_and_of_one_disk() {
     let mut world = World::new(14, 3, 3);
     world.install_queue();
-    assert!(change(&mut world, "zone-1", true));
+    assert!(change_zone(&mut world, "zone-1", true));
     (0..3).for_each(|at| world.kill_member(at, 800, at == 1));
     world.run_for(8_000);
-    assert_eq!(zones_out(&mut world), ["zone-1"]);
+    assert_eq!(read_evacuated_zones(&mut world), ["zone-1"]);
 }
 
 #[test]
 fn a_second_evacuation_and_a_withdrawal_of_nothing_change_nothing() {
     let mut world = World::new(15, 3, 1);
     world.install_queue();
-    assert!(change(&mut world, "zone-1", true) && change(&mut world, "zone-1", true));
-    assert!(change(&mut world, "nowhere", false));
-    assert_eq!(zones_out(&mut world), ["zone-1"]);
-    assert!(change(&mut world, "zone-1", false) && change(&mut world, "zone-1", false));
-    assert!(zones_out(&mut world).is_empty());
+    assert!(change_zone(&mut world, "zone-1", true) && change_zone(&mut world, "zone-1", true));
+    assert!(change_zone(&mut world, "nowhere", false));
+    assert_eq!(read_evacuated_zones(&mut world), ["zone-1"]);
+    assert!(change_zone(&mut world, "zone-1", false) && change_zone(&mut world, "zone-1", false));
+    assert!(read_evacuated_zones(&mut world).is_empty());
 }
 
 #[yare::parameterized(
--- a/tests/workflows/faults.rs
+++ b/tests/workflows/faults.rs
@@ -1,4 +1,4 @@
-//! Seeded schedules of faults, and faults by name.
+//! Seeded schedules of faults, and tests of single faults.
 
 use aspenrail::{gateway::GatewayAnswer, prelude::*};
 
@@ -7,15 +7,15 @@
     world::{World, spec, step},
 };
 
-/// Seeds that run in CI; each that ever failed is added with a line on its cause.
+/// Seeds that run in CI. Add each seed that failed, with a line on its cause.
 const SEEDS: std::ops::Range<u64> = 0..12;
 
-/// First seed of the long run, so that it never repeats those of CI.
+/// First seed of the long run, which must not repeat the seeds of CI.
 const LONG_FROM: u64 = 100_000;
 
 const QUICK: Nature = Nature { work_ms: 400, fails_every: 0, crash: None };
 
-/// Plays a minute of load and faults, then rests until all is done, and returns the world.
+/// Runs a minute of load and faults, then checks that accepted work ends when the faults are over.
 fn play(seed: u64) -> World {
     let mut world = World::new(seed, 3, 5);
     world.install_queue();
@@ -54,23 +54,23 @@
     world
 }
 
-/// Does the world one harm, or mends what was done.
+/// Injects one random fault or ends earlier ones.
 pub fn disturb(world: &mut World) {
     match world.random.u32(0..14) {
         0 | 1 => {
-            let at = world.random.usize(0..3);
-            let others_up = world.members.iter().enumerate().all(|(it, member)| {
-                it == at || (member.core.is_some() && !world.cut.contains(&it))
+            let member = world.random.usize(0..3);
+            let others_up = world.members.iter().enumerate().all(|(index, other)| {
+                index == member || (other.core.is_some() && !world.cut.contains(&index))
             });
-            // A member that runs is not repaired before it votes: seed 100046 wiped a second disk
-            // while the first one's successor was still cut off, more than the group is to bear.
+            // A wiped member is repaired only once it votes. Seed 100046 wiped a second disk while the
+            // first one's successor was still cut off, which exceeds the tolerated faults.
             let wiped = others_up && world.random.bool() && all_vote(world);
             let down_ms = world.random.u64(100..4_000);
-            if world.members[at].core.is_some() {
-                world.kill_member(at, down_ms, wiped);
+            if world.members[member].core.is_some() {
+                world.kill_member(member, down_ms, wiped);
             }
             if wiped {
-                // A second loss before the repair could lose what only two members hold.
+                // A second loss before the repair could lose entries that only two members store.
                 world.run_for(down_ms + 4_000);
             }
         }
@@ -79,8 +79,8 @@
             world.cut.insert(200 + vm);
         }
         4 => {
-            let at = world.random.usize(0..3);
-            world.cut.insert(at);
+            let member = world.random.usize(0..3);
+            world.cut.insert(member);
         }
         5 | 6 => world.cut.clear(),
         7 => {
@@ -175,10 +175,10 @@
     world.kill_member(leader, 3_000, false);
     world.run_for(12_000);
     assert_eq!(world.phase(7), Some(WorkflowPhase::Completed));
-    assert_eq!(world.rules.starts, 6, "a run that lapsed was started again");
+    assert_eq!(world.rules.starts, 6, "a run lapsed and was started again");
 }
 
-/// Returns the lease that the product has where no settings say otherwise.
+/// Returns the default lease duration of the settings.
 fn default_lease_ms() -> u64 {
     let page = aspenrail::config::settings_page();
     let row =
@@ -186,13 +186,13 @@
     row.split('|').nth(4).unwrap().trim().parse().unwrap()
 }
 
-/// Control without power for four seconds, as long as its VMs take to restart, costs no run: on a
-/// whole fleet all of them lapsed together.
+/// Control processes lose power for four seconds, as long as their VMs take to restart. Leases must
+/// outlast this: on a whole fleet, all runs once lapsed together.
 #[test]
 fn work_outlives_control_that_is_dark_for_four_seconds() {
     let mut world = World::new(5, 3, 3);
     world.lease_ms = default_lease_ms();
-    (0..3).for_each(|at| world.kill_member(at, 10, false));
+    (0..3).for_each(|member| world.kill_member(member, 10, false));
     world.run_for(2_000);
     world.install_queue();
     world.submit(
@@ -202,10 +202,10 @@
     );
     world.run_for(2_000);
     assert_eq!(world.rules.starts, 6);
-    (0..3).for_each(|at| world.kill_member(at, 4_000, false));
+    (0..3).for_each(|member| world.kill_member(member, 4_000, false));
     world.run_for(12_000);
     assert_eq!(world.phase(7), Some(WorkflowPhase::Completed));
-    assert_eq!(world.rules.starts, 6, "a run that lapsed was started again");
+    assert_eq!(world.rules.starts, 6, "a run lapsed and was started again");
 }
 
 #[test]
@@ -228,7 +228,7 @@
 
 #[test]
 fn a_start_given_up_with_its_worker_is_not_begun_after_the_cut() {
-    // Every order is late, so that starts still wait at the node when its lease runs out.
+    // Every order is late, so that starts are still pending at the node when its lease expires.
     let mut world = World::new(5, 3, 2);
     world.install_queue();
     world.late_percent = 100;
@@ -272,13 +272,13 @@
     world.nodes[1].worker.fails_all = true;
     world.nodes[2].worker.fails_all = true;
     for id in 1..=20 {
-        // One to a worker.
+        // Needs 10 of 16 cores, so that each worker runs one task.
         world.submit(id, spec(vec![step(1, 10, &[])]), QUICK);
         world.run_for(500);
     }
     world.run_for(5_000);
     let failed = (1..=20).filter(|id| world.phase(*id) == Some(WorkflowPhase::Failed)).count();
-    assert!(failed <= 6, "{failed} of 20 workflows failed by two workers of three");
+    assert!(failed <= 6, "{failed} of 20 workflows failed because of two workers of three");
 }
 
 #[test]
@@ -298,7 +298,8 @@
 fn a_workflow_whose_only_run_is_on_a_silent_worker_is_not_kept_idle() {
     let mut world = World::new(11, 3, 3);
     world.install_queue();
-    // So much more than any worker leaves unused that it only ever begins for not being idle.
+    // The filler needs more than any worker has unused, so it starts only because its workflow would
+    // otherwise be idle.
     let mut filler = step(2, 40, &[]);
     filler.filler = true;
     world.submit(7, spec(vec![filler]), Nature { work_ms: 20_000, fails_every: 0, crash: None });
@@ -307,7 +308,7 @@
     let holder = (0..3).find(|vm| 0 < world.rules.starts_on(&world.nodes[*vm].worker.name()));
     world.cut.insert(200 + holder.unwrap());
     world.run_for(3_000);
-    assert_eq!(world.rules.starts, 2, "nothing runs that the leader knows of");
+    assert_eq!(world.rules.starts, 2, "no run that the leader knows of is live");
 }
 
 #[test]
@@ -323,7 +324,7 @@
     assert_eq!((starts_on(0), starts_on(1)), (0, 8));
 }
 
-/// Returns whether the leader's group consists of the three members as they are now.
+/// Returns whether all three members run under their current ids and are voters of the leader.
 fn all_vote(world: &World) -> bool {
     let rafts = || world.members.iter().filter_map(|it| Some(it.core.as_ref()?.raft()));
     let Some(leader) = rafts().find(|it| it.is_leader()) else { return false };
@@ -331,16 +332,17 @@
     rafts().count() == 3 && rafts().all(|it| voters.iter().any(|voter| voter.id == it.id()))
 }
 
-/// A disk that is full, or refuses writes for another cause, ended its process, which started into
-/// the same wall. Another member leads meanwhile, and the one with that disk counts again after it.
+/// A full disk, or one that refuses writes for another reason, ended its process, which failed again
+/// at each restart. Another member must lead meanwhile, and the first one count for the quorum again
+/// once its disk accepts writes.
 #[test]
 fn a_leader_whose_disk_refuses_writes_lets_another_one_lead() {
     let mut world = World::new(41, 3, 3);
     world.install_queue();
-    let first = world.leader();
-    world.refuse_writes(first);
+    let first_leader = world.leader();
+    world.refuse_writes(first_leader);
     world.run_for(1_500);
-    assert_ne!(world.leader(), first);
+    assert_ne!(world.leader(), first_leader);
     for id in 1..=5 {
         let token = world.submit(id, spec(vec![step(2, 1, &[])]), QUICK);
         world.run_for(2_000);
@@ -349,10 +351,10 @@
             Some(&GatewayAnswer::Outcome(WorkflowOutcome::Accepted))
         );
     }
-    world.take_writes(first);
+    world.accept_writes(first_leader);
     world.run_for(1_000);
-    let other = world.leader();
-    world.kill_member(other, 20_000, false);
+    let second_leader = world.leader();
+    world.kill_member(second_leader, 20_000, false);
     world.run_for(3_000);
     for id in 1..=5 {
         assert_eq!(world.phase(id), Some(WorkflowPhase::Completed), "workflow {id}");
@@ -360,8 +362,8 @@
     assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
 }
 
-/// Callers asked for work that was done and were told that it is not known: a clock of day had jumped,
-/// so that the time for which its end is kept seemed over.
+/// Clients asked for completed workflows and were told that these are unknown: a wall clock had
+/// jumped, so that the retention time seemed to be over.
 #[yare::parameterized(
     ahead = { 0, 3_600_000 },
     back = { 3_600_000, 0 },
--- a/tests/workflows/gateway.rs
+++ b/tests/workflows/gateway.rs
@@ -1,4 +1,4 @@
-//! What a gateway tells its clients.
+//! Answers of a gateway to its clients.
 
 use aspenrail::{
     gateway::{GatewayAnswer, RejectionCause},
@@ -27,7 +27,7 @@
     let mut world = World::new(2, 3, 1);
     world.install_queue();
     (0..3).for_each(|at| world.kill_member(at, 5_000, false));
-    // Long enough for the gateway's own probe to find the leader silent.
+    // Long enough for the gateway's probe to find that the leader does not answer.
     world.run_for(1_500);
     let token = world.submit(7, spec(vec![step(1, 1, &[])]), QUICK);
     world.run_for(950);
@@ -37,7 +37,7 @@
         "{answer:?}"
     );
     world.run_for(10_000);
-    assert_eq!(world.phase(7), None, "it was told not to be taken");
+    assert_eq!(world.phase(7), None, "accepted although the client got a rejection");
     assert!(!world.rules.has_begun(7));
     assert_eq!(world.rules.starts, 0);
 }
@@ -99,12 +99,12 @@
         Some(GatewayAnswer::Outcome(WorkflowOutcome::Invalid(why))) => {
             assert!(why.contains(expected), "{why}")
         }
-        other => panic!("{other:?}"),
+        other => panic!("unexpected answer: {other:?}"),
     }
     let token = world.request(WorkflowRequest::ReadConfig);
     world.run_for(300);
-    let held = GatewayAnswer::Outcome(WorkflowOutcome::Config(queues(1)));
-    assert_eq!(world.answers.get(&token), Some(&held));
+    let unchanged = GatewayAnswer::Outcome(WorkflowOutcome::Config(queues(1)));
+    assert_eq!(world.answers.get(&token), Some(&unchanged));
 }
 
 #[yare::parameterized(
@@ -116,8 +116,8 @@
 fn places_are_told_apart(host: &str, path: &str, expected: WorkflowOutcome) {
     let mut world = World::new(7, 3, 1);
     world.install_queue();
-    let place = WorkflowTarget { host: host.into(), path: path.into() };
-    let token = world.request(WorkflowRequest::Inspect(place));
+    let workflow_target = WorkflowTarget { host: host.into(), path: path.into() };
+    let token = world.request(WorkflowRequest::Inspect(workflow_target));
     world.run_for(300);
     assert_eq!(world.answers.get(&token), Some(&GatewayAnswer::Outcome(expected)));
 }
@@ -135,5 +135,5 @@
     world.request(WorkflowRequest::Cancel(target(7)));
     world.run_for(6_000);
     assert_eq!(world.phase(7), Some(WorkflowPhase::Cancelled));
-    assert_eq!(world.rules.starts, 2, "a step began after the workflow was cancelled");
+    assert_eq!(world.rules.starts, 2, "a step started after the workflow was cancelled");
 }
--- a/tests/workflows/ledger.rs
+++ b/tests/workflows/ledger.rs
@@ -1,4 +1,4 @@
-//! The replicated ledger alone, and against a naive twin.
+//! The replicated workflow state alone, and compared with full scans.
 
 use std::collections::BTreeMap;
 
@@ -53,7 +53,7 @@
     WorkflowCommand::Settle(SettleFailures { counted, lapsed })
 }
 
-fn ready(spec: WorkflowSpec) -> Workflows {
+fn with_workflow(spec: WorkflowSpec) -> Workflows {
     let mut res = Workflows::default();
     for it in [WorkflowCommand::Install(queues(1)), enrol("w-1"), submit(7, spec)] {
         assert_eq!(res.apply(&it, 1), WorkflowOutcome::Accepted);
@@ -61,31 +61,31 @@
     res
 }
 
-fn phase(it: &Workflows) -> WorkflowPhase {
-    it.get(WorkflowId(7)).unwrap().phase()
+fn phase(workflows: &Workflows) -> WorkflowPhase {
+    workflows.get(WorkflowId(7)).unwrap().phase()
 }
 
 #[test]
 fn a_run_number_is_used_once() {
-    let mut ledger = ready(spec(vec![step(1, 1, &[])]));
+    let mut workflows = with_workflow(spec(vec![step(1, 1, &[])]));
     let first = run(7, 0, 0, 1);
-    ledger.apply(&begin(1, &[first]), 2);
-    ledger.apply(&finish(1, 1, first, RunOutcome::Lapsed), 3);
-    ledger.apply(&begin(1, &[first]), 4);
-    assert!(!ledger.get(WorkflowId(7)).unwrap().has_live_runs());
-    ledger.apply(&begin(1, &[run(7, 0, 0, 2)]), 5);
-    assert!(ledger.get(WorkflowId(7)).unwrap().has_live_runs());
+    workflows.apply(&begin(1, &[first]), 2);
+    workflows.apply(&finish(1, 1, first, RunOutcome::Lapsed), 3);
+    workflows.apply(&begin(1, &[first]), 4);
+    assert!(!workflows.get(WorkflowId(7)).unwrap().has_live_runs());
+    workflows.apply(&begin(1, &[run(7, 0, 0, 2)]), 5);
+    assert!(workflows.get(WorkflowId(7)).unwrap().has_live_runs());
 }
 
 #[test]
 fn a_task_has_one_run_at_a_time_and_two_where_copies_are_allowed() {
-    let mut copies = step(1, 1, &[]);
-    copies.duplicates = true;
-    for (step, expected) in [(step(1, 1, &[]), 1), (copies, 2)] {
-        let mut ledger = ready(spec(vec![step]));
-        (1..=3).for_each(|it| drop(ledger.apply(&begin(1, &[run(7, 0, 0, it)]), 2)));
+    let mut duplicated = step(1, 1, &[]);
+    duplicated.duplicates = true;
+    for (step, expected) in [(step(1, 1, &[]), 1), (duplicated, 2)] {
+        let mut workflows = with_workflow(spec(vec![step]));
+        (1..=3).for_each(|it| drop(workflows.apply(&begin(1, &[run(7, 0, 0, it)]), 2)));
         let task = run(7, 0, 0, 1).task;
-        let runs = ledger.get(WorkflowId(7)).unwrap().task(task).unwrap().runs.len();
+        let runs = workflows.get(WorkflowId(7)).unwrap().task(task).unwrap().runs.len();
         assert_eq!(runs, expected);
     }
 }
@@ -94,122 +94,134 @@
 fn one_end_stands_for_a_gang_and_its_failures_add_up() {
     let mut gang = step(3, 1, &[]);
     gang.gang = true;
-    let mut ledger = ready(spec(vec![gang]));
+    let mut workflows = with_workflow(spec(vec![gang]));
     let members: Vec<_> = (0..3).map(|it| run(7, 0, it, 1)).collect();
-    ledger.apply(&begin(1, &members), 2);
-    ledger.apply(&finish(1, 1, members[0], RunOutcome::Done), 3);
-    assert_eq!(phase(&ledger), WorkflowPhase::Completed);
+    workflows.apply(&begin(1, &members), 2);
+    workflows.apply(&finish(1, 1, members[0], RunOutcome::Done), 3);
+    assert_eq!(phase(&workflows), WorkflowPhase::Completed);
 }
 
-/// Members of a gang fail together, each by its own fault: that is one attempt of the gang.
+/// Members of a gang fail together, each with its own error: this is one attempt of the gang.
 #[test]
 fn a_start_of_a_gang_fails_once() {
     let mut gang = step(3, 1, &[]);
     gang.gang = true;
-    let mut ledger = ready(spec(vec![gang]));
+    let mut workflows = with_workflow(spec(vec![gang]));
     for start in 1..=3 {
         assert_eq!(
-            phase(&ledger),
+            phase(&workflows),
             if start == 1 { WorkflowPhase::Queued } else { WorkflowPhase::Running }
         );
         let members: Vec<_> = (0..3).map(|it| run(7, 0, it, start)).collect();
-        ledger.apply(&begin(1, &members), 2);
-        members.iter().for_each(|it| drop(ledger.apply(&finish(1, 1, *it, RunOutcome::Failed), 3)));
-        ledger.apply(&settle(&members, &[]), 4);
+        workflows.apply(&begin(1, &members), 2);
+        members
+            .iter()
+            .for_each(|it| drop(workflows.apply(&finish(1, 1, *it, RunOutcome::Failed), 3)));
+        workflows.apply(&settle(&members, &[]), 4);
     }
-    assert_eq!(phase(&ledger), WorkflowPhase::Failed);
+    assert_eq!(phase(&workflows), WorkflowPhase::Failed);
 }
 
 #[test]
 fn an_end_that_is_told_again_counts_once() {
-    let mut ledger = ready(spec(vec![step(1, 1, &[])]));
+    let mut workflows = with_workflow(spec(vec![step(1, 1, &[])]));
     let first = run(7, 0, 0, 1);
-    ledger.apply(&begin(1, &[first]), 2);
+    workflows.apply(&begin(1, &[first]), 2);
     for it in 1..=5 {
-        ledger.apply(&finish(1, it, first, RunOutcome::Failed), 3);
-        ledger.apply(&settle(&[first], &[]), 4);
+        workflows.apply(&finish(1, it, first, RunOutcome::Failed), 3);
+        workflows.apply(&settle(&[first], &[]), 4);
     }
-    assert_eq!(phase(&ledger), WorkflowPhase::Running);
-    assert_eq!(ledger.get(WorkflowId(7)).unwrap().task(first.task).unwrap().failures, 1);
+    assert_eq!(phase(&workflows), WorkflowPhase::Running);
+    assert_eq!(workflows.get(WorkflowId(7)).unwrap().task(first.task).unwrap().failures, 1);
 }
 
-/// A run that was concluded with its worker is no attempt, whatever the worker says of it later;
-/// nor does what it saved take the place of what a later run has saved.
+/// A run that lapsed with its worker is no attempt, even if the worker reports a failure later. Its
+/// checkpoint must not replace that of a later run either.
 #[test]
 fn an_end_that_was_concluded_before_changes_nothing() {
-    let mut ledger = ready(spec(vec![step(1, 1, &[])]));
+    let mut workflows = with_workflow(spec(vec![step(1, 1, &[])]));
     let (first, second) = (run(7, 0, 0, 1), run(7, 0, 0, 2));
-    ledger.apply(&begin(1, &[first]), 2);
-    ledger.apply(&finish(1, 0, first, RunOutcome::Lapsed), 3);
-    ledger.apply(&WorkflowCommand::Dismiss(WorkerId(1)), 3);
-    ledger.apply(&enrol("w-1"), 4);
-    ledger.apply(&begin(2, &[second]), 5);
-    let saved = |run, outcome, checkpoint: &str| {
+    workflows.apply(&begin(1, &[first]), 2);
+    workflows.apply(&finish(1, 0, first, RunOutcome::Lapsed), 3);
+    workflows.apply(&WorkflowCommand::Dismiss(WorkerId(1)), 3);
+    workflows.apply(&enrol("w-1"), 4);
+    workflows.apply(&begin(2, &[second]), 5);
+    let finish_with_checkpoint = |run, outcome, checkpoint: &str| {
         let end = RunEnd { run, outcome, checkpoint: checkpoint.into() };
         WorkflowCommand::Finish(FinishRuns { worker: WorkerId(2), cursor: 1, ends: vec![end] })
     };
-    ledger.apply(&saved(second, RunOutcome::Stopped, "newer"), 6);
-    ledger.apply(&saved(first, RunOutcome::Failed, "older"), 7);
-    let task = ledger.get(WorkflowId(7)).unwrap().task(first.task).unwrap();
+    workflows.apply(&finish_with_checkpoint(second, RunOutcome::Stopped, "newer"), 6);
+    workflows.apply(&finish_with_checkpoint(first, RunOutcome::Failed, "older"), 7);
+    let task = workflows.get(WorkflowId(7)).unwrap().task(first.task).unwrap();
     assert_eq!((task.failures, task.checkpoint.as_str()), (0, "newer"));
 }
 
-/// What becomes of the worker of a failure.
-enum Fate {
-    Hears,
-    Lapses,
-    /// It is given up, and another lifetime enrols beside its node.
+/// What happens to a worker whose failure was noted.
+enum WorkerFate {
+    ReceivesAck,
+    LeaseLapses,
+    /// The worker is dismissed, and another incarnation registers at its node.
     IsReplaced,
-    /// It is given up, and is back.
+    /// The worker is dismissed and registers again.
     Returns,
 }
 
-/// A failure waits until its worker has heard of it: then it counts, or it never will. Where that
-/// cannot be known, it counts, since an attempt too many must not be made.
+/// A failure counts once its worker received the acknowledgement, and never if the lease lapsed
+/// before. Where this cannot be known, it counts, since a task must not get too many attempts.
 #[yare::parameterized(
-    hears = { Fate::Hears, 1 },
-    lapses = { Fate::Lapses, 0 },
-    is_replaced = { Fate::IsReplaced, 1 },
-    returns_and_has_lapsed = { Fate::Returns, 0 },
+    hears = { WorkerFate::ReceivesAck, 1 },
+    lapses = { WorkerFate::LeaseLapses, 0 },
+    is_replaced = { WorkerFate::IsReplaced, 1 },
+    returns_and_has_lapsed = { WorkerFate::Returns, 0 },
 )]
-fn a_failure_counts_once_its_worker_knows(fate: Fate, failures: u32) {
-    let mut ledger = ready(spec(vec![step(1, 1, &[])]));
+fn a_failure_counts_once_its_worker_knows(worker_fate: WorkerFate, failures: u32) {
+    let mut workflows = with_workflow(spec(vec![step(1, 1, &[])]));
     let first = run(7, 0, 0, 1);
-    ledger.apply(&begin(1, &[first]), 2);
-    ledger.apply(&finish(1, 5, first, RunOutcome::Failed), 3);
-    assert!(ledger.workers().get(WorkerId(1)).unwrap().runs.is_empty(), "its room is free");
-    ledger.apply(&begin(1, &[run(7, 0, 0, 2)]), 3);
-    assert!(ledger.workers().get(WorkerId(1)).unwrap().runs.is_empty(), "its task waits");
-    match fate {
-        Fate::Hears => drop(ledger.apply(&settle(&[first], &[]), 4)),
-        Fate::Lapses => drop(ledger.apply(&settle(&[], &[first]), 4)),
-        Fate::IsReplaced | Fate::Returns => {
-            ledger.apply(&WorkflowCommand::Dismiss(WorkerId(1)), 4);
-            assert_eq!(ledger.ready_steps().count(), 0, "its task waits still");
-            let name = if matches!(fate, Fate::Returns) { "w-1" } else { "w-2" };
-            ledger.apply(&enrol(name), 5);
+    workflows.apply(&begin(1, &[first]), 2);
+    workflows.apply(&finish(1, 5, first, RunOutcome::Failed), 3);
+    assert!(
+        workflows.workers().get(WorkerId(1)).unwrap().runs.is_empty(),
+        "the failed run still reserves capacity"
+    );
+    workflows.apply(&begin(1, &[run(7, 0, 0, 2)]), 3);
+    assert!(
+        workflows.workers().get(WorkerId(1)).unwrap().runs.is_empty(),
+        "the task restarted before its failure was settled"
+    );
+    match worker_fate {
+        WorkerFate::ReceivesAck => drop(workflows.apply(&settle(&[first], &[]), 4)),
+        WorkerFate::LeaseLapses => drop(workflows.apply(&settle(&[], &[first]), 4)),
+        WorkerFate::IsReplaced | WorkerFate::Returns => {
+            workflows.apply(&WorkflowCommand::Dismiss(WorkerId(1)), 4);
+            assert_eq!(
+                workflows.ready_steps().count(),
+                0,
+                "the task is ready before its failure was settled"
+            );
+            let name = if matches!(worker_fate, WorkerFate::Returns) { "w-1" } else { "w-2" };
+            workflows.apply(&enrol(name), 5);
         }
     }
-    if let Fate::Returns = fate {
+    if let WorkerFate::Returns = worker_fate {
         let noted = NotedEnds { noted_cursor: 5, lapsed_after_cursor: 4, lapsed_cursor: 5 };
-        let settled = ledger.failures_to_settle(WorkerId(2), noted).unwrap();
-        ledger.apply(&WorkflowCommand::Settle(settled), 6);
+        let settled = workflows.failures_to_settle(WorkerId(2), noted).unwrap();
+        workflows.apply(&WorkflowCommand::Settle(settled), 6);
     }
-    let task = ledger.get(WorkflowId(7)).unwrap().task(first.task).unwrap();
+    let task = workflows.get(WorkflowId(7)).unwrap().task(first.task).unwrap();
     assert_eq!((task.failures, task.runs.len()), (failures, 0));
-    assert_eq!(ledger.ready_steps().count(), 1);
+    assert_eq!(workflows.ready_steps().count(), 1);
 }
 
 #[test]
 fn failures_of_workers_that_do_not_come_back_are_found() {
-    let mut ledger = ready(spec(vec![step(1, 1, &[])]));
+    let mut workflows = with_workflow(spec(vec![step(1, 1, &[])]));
     let first = run(7, 0, 0, 1);
-    ledger.apply(&begin(1, &[first]), 2);
-    ledger.apply(&finish(1, 5, first, RunOutcome::Failed), 3);
-    assert_eq!(ledger.unsettled_failures_on(WorkerId(1)), [first]);
-    ledger.apply(&WorkflowCommand::Dismiss(WorkerId(1)), 10);
-    assert_eq!(ledger.lost_failures_before(10), []);
-    assert_eq!(ledger.lost_failures_before(11), [first]);
+    workflows.apply(&begin(1, &[first]), 2);
+    workflows.apply(&finish(1, 5, first, RunOutcome::Failed), 3);
+    assert_eq!(workflows.unsettled_failures_on(WorkerId(1)), [first]);
+    workflows.apply(&WorkflowCommand::Dismiss(WorkerId(1)), 10);
+    assert_eq!(workflows.lost_failures_before(10), []);
+    assert_eq!(workflows.lost_failures_before(11), [first]);
 }
 
 #[yare::parameterized(
@@ -220,70 +232,69 @@
     lapsed_before = { NotedEnds { noted_cursor: 5, lapsed_after_cursor: 1, lapsed_cursor: 4 }, Some(true) },
 )]
 fn what_a_worker_knows_settles_its_failures(noted: NotedEnds, counts: Option<bool>) {
-    let mut ledger = ready(spec(vec![step(1, 1, &[])]));
+    let mut workflows = with_workflow(spec(vec![step(1, 1, &[])]));
     let first = run(7, 0, 0, 1);
-    ledger.apply(&begin(1, &[first]), 2);
-    ledger.apply(&finish(1, 5, first, RunOutcome::Failed), 3);
-    let settled = ledger.failures_to_settle(WorkerId(1), noted);
+    workflows.apply(&begin(1, &[first]), 2);
+    workflows.apply(&finish(1, 5, first, RunOutcome::Failed), 3);
+    let settled = workflows.failures_to_settle(WorkerId(1), noted);
     assert_eq!(settled.map(|it| it.counted == [first]), counts);
 }
 
-/// What is done is done, also where the run that did it had been given up: its task must not be
-/// done twice.
+/// A task is done even if the run that completed it had been given up. It must not be done twice.
 #[test]
 fn a_task_that_was_done_by_a_run_given_up_is_done() {
-    let mut ledger = ready(spec(vec![step(1, 1, &[])]));
+    let mut workflows = with_workflow(spec(vec![step(1, 1, &[])]));
     let (first, second) = (run(7, 0, 0, 1), run(7, 0, 0, 2));
-    ledger.apply(&begin(1, &[first]), 2);
-    ledger.apply(&finish(1, 0, first, RunOutcome::Lapsed), 3);
-    ledger.apply(&begin(1, &[second]), 4);
-    ledger.apply(&finish(1, 1, first, RunOutcome::Done), 5);
-    assert_eq!(phase(&ledger), WorkflowPhase::Completed);
-    assert!(ledger.is_redundant(second));
+    workflows.apply(&begin(1, &[first]), 2);
+    workflows.apply(&finish(1, 0, first, RunOutcome::Lapsed), 3);
+    workflows.apply(&begin(1, &[second]), 4);
+    workflows.apply(&finish(1, 1, first, RunOutcome::Done), 5);
+    assert_eq!(phase(&workflows), WorkflowPhase::Completed);
+    assert!(workflows.is_redundant(second));
 }
 
 #[test]
 fn a_lasting_task_has_no_last_attempt() {
-    let mut lasting = step(1, 1, &[]);
-    lasting.lasting = true;
-    let mut ledger = ready(spec(vec![lasting]));
+    let mut long_running = step(1, 1, &[]);
+    long_running.lasting = true;
+    let mut workflows = with_workflow(spec(vec![long_running]));
     for it in 1..=10 {
-        ledger.apply(&begin(1, &[run(7, 0, 0, it)]), 2);
-        ledger.apply(&finish(1, it.into(), run(7, 0, 0, it), RunOutcome::Failed), 3);
+        workflows.apply(&begin(1, &[run(7, 0, 0, it)]), 2);
+        workflows.apply(&finish(1, it.into(), run(7, 0, 0, it), RunOutcome::Failed), 3);
     }
-    assert_eq!(phase(&ledger), WorkflowPhase::Running);
+    assert_eq!(phase(&workflows), WorkflowPhase::Running);
 }
 
 #[test]
 fn a_new_lifetime_beside_a_node_ends_the_earlier_one() {
-    let mut ledger = ready(spec(vec![step(1, 1, &[])]));
-    ledger.apply(&begin(1, &[run(7, 0, 0, 1)]), 2);
-    ledger.apply(&enrol("w-2"), 3);
-    assert!(!ledger.get(WorkflowId(7)).unwrap().has_live_runs());
-    assert_eq!(ledger.workers().len(), 1);
-    assert_eq!(ledger.workers().find(NODE, "w-2"), Some(WorkerId(2)));
+    let mut workflows = with_workflow(spec(vec![step(1, 1, &[])]));
+    workflows.apply(&begin(1, &[run(7, 0, 0, 1)]), 2);
+    workflows.apply(&enrol("w-2"), 3);
+    assert!(!workflows.get(WorkflowId(7)).unwrap().has_live_runs());
+    assert_eq!(workflows.workers().len(), 1);
+    assert_eq!(workflows.workers().find(NODE, "w-2"), Some(WorkerId(2)));
 }
 
 #[test]
 fn a_filler_reserves_memory_only() {
     let mut filler = step(1, 4, &[]);
     filler.filler = true;
-    let mut ledger = ready(spec(vec![filler]));
-    ledger.apply(&begin(1, &[run(7, 0, 0, 1)]), 2);
-    let worker = ledger.workers().get(WorkerId(1)).unwrap();
+    let mut workflows = with_workflow(spec(vec![filler]));
+    workflows.apply(&begin(1, &[run(7, 0, 0, 1)]), 2);
+    let worker = workflows.workers().get(WorkerId(1)).unwrap();
     assert_eq!((worker.used.cpu_millicores, worker.used.memory_mib), (0, 1_000));
     assert_eq!(worker.filler_millicores, 4_000);
 }
 
 #[test]
 fn an_end_of_a_workflow_is_kept_until_it_is_forgotten() {
-    let mut ledger = ready(spec(vec![step(1, 1, &[])]));
-    ledger.apply(&begin(1, &[run(7, 0, 0, 1)]), 2);
-    ledger.apply(&finish(1, 1, run(7, 0, 0, 1), RunOutcome::Done), 100);
-    ledger.apply(&WorkflowCommand::Forget(100), 200);
-    assert_eq!(phase(&ledger), WorkflowPhase::Completed);
-    ledger.apply(&WorkflowCommand::Forget(101), 300);
-    assert!(ledger.get(WorkflowId(7)).is_none());
+    let mut workflows = with_workflow(spec(vec![step(1, 1, &[])]));
+    workflows.apply(&begin(1, &[run(7, 0, 0, 1)]), 2);
+    workflows.apply(&finish(1, 1, run(7, 0, 0, 1), RunOutcome::Done), 100);
+    workflows.apply(&WorkflowCommand::Forget(100), 200);
+    assert_eq!(phase(&workflows), WorkflowPhase::Completed);
+    workflows.apply(&WorkflowCommand::Forget(101), 300);
+    assert!(workflows.get(WorkflowId(7)).is_none());
 }
 
 #[yare::parameterized(
@@ -294,45 +305,48 @@
     too_many = { vec![step(10_001, 1, &[])], "10001 tasks" },
 )]
 fn a_workflow_that_cannot_be_is_refused(steps: Vec<WorkflowStep>, expected: &str) {
-    let Err(ValidationError(why)) = check_spec(&spec(steps)) else { panic!("it was taken") };
+    let Err(ValidationError(why)) = check_spec(&spec(steps)) else {
+        panic!("the specification was accepted")
+    };
     assert!(why.contains(expected), "{why}");
 }
 
-/// Random commands against a twin that keeps only lists of what happened.
+/// Applies random commands and compares reserved capacity and runs with a recount.
 #[test]
 fn room_and_runs_match_a_recount() {
     let mut random = fastrand::Rng::with_seed(11);
-    let mut ledger = Workflows::default();
-    ledger.apply(&WorkflowCommand::Install(queues(1)), 1);
+    let mut workflows = Workflows::default();
+    workflows.apply(&WorkflowCommand::Install(queues(1)), 1);
     (0..4).for_each(|it| {
         let mut command = enrol(&format!("w-{it}"));
         if let WorkflowCommand::Enrol(enrol) = &mut command {
             enrol.node.set_port(1_200 + it);
         }
-        ledger.apply(&command, 1);
+        workflows.apply(&command, 1);
     });
-    (1..=8).for_each(|id| drop(ledger.apply(&submit(id, spec(vec![step(4, id as u32, &[])])), 1)));
+    (1..=8)
+        .for_each(|id| drop(workflows.apply(&submit(id, spec(vec![step(4, id as u32, &[])])), 1)));
     for turn in 0..4_000 {
         let (id, index) = (random.u64(1..=8), random.u32(0..4));
-        let at = run(id, 0, index, random.u32(1..8));
+        let run_ref = run(id, 0, index, random.u32(1..8));
         let worker = random.u64(1..=4);
         let command = match random.u32(0..5) {
-            0 | 1 => begin(worker, &[at]),
-            2 => finish(worker, turn, at, RunOutcome::Lapsed),
-            3 => WorkflowCommand::Void(VoidRuns { worker: WorkerId(worker), runs: vec![at] }),
+            0 | 1 => begin(worker, &[run_ref]),
+            2 => finish(worker, turn, run_ref, RunOutcome::Lapsed),
+            3 => WorkflowCommand::Void(VoidRuns { worker: WorkerId(worker), runs: vec![run_ref] }),
             _ if random.u32(0..60) == 0 => WorkflowCommand::Cancel(WorkflowId(id)),
             _ => continue,
         };
-        ledger.apply(&command, turn);
-        recount(&ledger);
+        workflows.apply(&command, turn);
+        recount(&workflows);
     }
 }
 
-fn recount(ledger: &Workflows) {
+fn recount(workflows: &Workflows) {
     let mut cores: BTreeMap<WorkerId, u32> = BTreeMap::new();
     let mut live = 0;
     for id in 1..=8 {
-        let Some(workflow) = ledger.get(WorkflowId(id)) else { continue };
+        let Some(workflow) = workflows.get(WorkflowId(id)) else { continue };
         for task in workflow.occurrences.iter().flat_map(|it| &it.steps).flat_map(|it| &it.tasks) {
             for run in &task.runs {
                 live += 1;
@@ -340,15 +354,15 @@
             }
         }
     }
-    for (id, worker) in ledger.workers().iter() {
+    for (id, worker) in workflows.workers().iter() {
         assert_eq!(worker.used.cpu_millicores, cores.get(&id).copied().unwrap_or(0));
     }
-    let listed: usize = ledger.workers().iter().map(|(_, it)| it.runs.len()).sum();
+    let listed: usize = workflows.workers().iter().map(|(_, it)| it.runs.len()).sum();
     assert_eq!(listed, live);
 }
 
-/// Random commands on workflows of several steps, gangs, copies and occurrences: what the indexes
-/// find is what a walk over everything finds, also after a snapshot.
+/// Applies random commands to workflows with several steps, gangs, duplicates and occurrences. The
+/// indexes must give the same as a full scan, also after a snapshot.
 #[test]
 fn ready_steps_and_workers_are_found_as_by_a_walk() {
     let mut random = fastrand::Rng::with_seed(23);
@@ -357,11 +371,14 @@
     let mut apply = |state: &mut State, command: WorkflowCommand| {
         applied += 1;
         state.apply_workflow(applied, applied, &command);
-        assert_eq!(state.workflows.ready_steps().collect::<Vec<_>>(), walked(&state.workflows));
+        assert_eq!(
+            state.workflows.ready_steps().collect::<Vec<_>>(),
+            scan_ready_steps(&state.workflows)
+        );
     };
     apply(&mut state, WorkflowCommand::Install(queues(1)));
     for it in 0..4_u16 {
-        apply(&mut state, enrol_beside(it));
+        apply(&mut state, enrol_at_port(it));
     }
     for id in 1..=9 {
         let mut steps =
@@ -373,17 +390,17 @@
     }
     for _ in 0..4_000 {
         let (id, index) = (random.u64(1..=9), random.u32(0..3));
-        let mut at = run(id, random.u32(0..4), index, random.u32(1..40));
-        at.task.occurrence = random.u32(0..2);
+        let mut run_ref = run(id, random.u32(0..4), index, random.u32(1..40));
+        run_ref.task.occurrence = random.u32(0..2);
         let worker = random.u64(1..=8);
         let outcomes = [RunOutcome::Done, RunOutcome::Failed, RunOutcome::Lapsed];
         let command = match random.u32(0..14) {
-            12 => settle(&[at], &[]),
-            13 => settle(&[], &[at]),
-            0..=4 => begin(worker, &[at]),
-            5..=8 => finish(worker, 1, at, outcomes[random.usize(0..3)]),
-            9 => WorkflowCommand::Void(VoidRuns { worker: WorkerId(worker), runs: vec![at] }),
-            10 => enrol_beside(random.u16(0..4)),
+            12 => settle(&[run_ref], &[]),
+            13 => settle(&[], &[run_ref]),
+            0..=4 => begin(worker, &[run_ref]),
+            5..=8 => finish(worker, 1, run_ref, outcomes[random.usize(0..3)]),
+            9 => WorkflowCommand::Void(VoidRuns { worker: WorkerId(worker), runs: vec![run_ref] }),
+            10 => enrol_at_port(random.u16(0..4)),
             _ if random.u32(0..40) == 0 => WorkflowCommand::Cancel(WorkflowId(id)),
             _ if random.u32(0..40) == 0 => WorkflowCommand::Dismiss(WorkerId(worker)),
             _ => WorkflowCommand::Forget(random.u64(0..400)),
@@ -394,13 +411,16 @@
         }
     }
     let restored = State::from_bytes(&state.to_bytes().unwrap()).unwrap();
-    assert_eq!(restored.workflows.ready_steps().collect::<Vec<_>>(), walked(&state.workflows));
+    assert_eq!(
+        restored.workflows.ready_steps().collect::<Vec<_>>(),
+        scan_ready_steps(&state.workflows)
+    );
     assert!(restored.workflows.queue("queue").is_some());
     let (id, worker) = state.workflows.workers().iter().next().unwrap();
     assert_eq!(restored.workflows.workers().find(worker.node, &worker.name), Some(id));
 }
 
-fn enrol_beside(port: u16) -> WorkflowCommand {
+fn enrol_at_port(port: u16) -> WorkflowCommand {
     let mut command = enrol(&format!("w-{port}"));
     if let WorkflowCommand::Enrol(enrol) = &mut command {
         enrol.node.set_port(1_200 + port);
@@ -408,17 +428,18 @@
     command
 }
 
-/// The steps that could begin, by a walk over all workflows.
-fn walked(workflows: &Workflows) -> Vec<StepRef> {
+/// Returns the steps that are ready to start, by a scan of all active workflows.
+fn scan_ready_steps(workflows: &Workflows) -> Vec<StepRef> {
     let mut res = Vec::new();
     for (id, workflow) in workflows.active() {
         for (occurrence, states) in workflow.occurrences.iter().enumerate() {
-            for (at, state) in states.steps.iter().enumerate() {
-                let after = &workflow.spec.steps[at].after;
-                let is_free = after.iter().all(|it| states.steps[*it as usize].is_done());
-                let waits = state.tasks.iter().any(|it| !it.is_done && it.runs.is_empty());
-                if is_free && waits {
-                    let (occurrence, step) = (occurrence as u32, at as u32);
+            for (index, state) in states.steps.iter().enumerate() {
+                let after = &workflow.spec.steps[index].after;
+                let is_unblocked = after.iter().all(|it| states.steps[*it as usize].is_done());
+                let has_unstarted_task =
+                    state.tasks.iter().any(|it| !it.is_done && it.runs.is_empty());
+                if is_unblocked && has_unstarted_task {
+                    let (occurrence, step) = (occurrence as u32, index as u32);
                     res.push(StepRef { workflow: id, occurrence, step });
                 }
             }
@@ -434,24 +455,24 @@
 
 #[test]
 fn a_late_copy_of_an_earlier_change_of_zones_undoes_nothing() {
-    let mut it = Workflows::default();
-    assert_eq!(it.apply(&evacuate("z", true, 0), 5), WorkflowOutcome::Accepted);
-    assert_eq!(it.apply(&evacuate("z", false, 1), 6), WorkflowOutcome::Accepted);
-    assert_eq!(it.apply(&evacuate("z", true, 2), 7), WorkflowOutcome::Accepted);
-    assert_eq!(it.apply(&evacuate("z", false, 1), 8), WorkflowOutcome::Stale);
+    let mut workflows = Workflows::default();
+    assert_eq!(workflows.apply(&evacuate("z", true, 0), 5), WorkflowOutcome::Accepted);
+    assert_eq!(workflows.apply(&evacuate("z", false, 1), 6), WorkflowOutcome::Accepted);
+    assert_eq!(workflows.apply(&evacuate("z", true, 2), 7), WorkflowOutcome::Accepted);
+    assert_eq!(workflows.apply(&evacuate("z", false, 1), 8), WorkflowOutcome::Stale);
     let expected = Evacuation { zone: "z".into(), by: "operator".into(), since_ms: 7 };
-    assert_eq!(it.evacuations(), &Evacuations { revision: 3, zones: vec![expected] });
+    assert_eq!(workflows.evacuations(), &Evacuations { revision: 3, zones: vec![expected] });
 }
 
 #[test]
 fn a_run_is_not_noted_on_a_worker_of_a_zone_out_of_use() {
-    let mut it = ready(spec(vec![step(1, 1, &[])]));
-    it.apply(&evacuate("z", true, 0), 1);
-    it.apply(&begin(1, &[run(7, 0, 0, 1)]), 1);
-    assert!(it.workers().get(WorkerId(1)).unwrap().runs.is_empty());
-    it.apply(&evacuate("z", false, 1), 1);
-    it.apply(&begin(1, &[run(7, 0, 0, 1)]), 1);
-    assert_eq!(it.workers().get(WorkerId(1)).unwrap().runs.len(), 1);
+    let mut workflows = with_workflow(spec(vec![step(1, 1, &[])]));
+    workflows.apply(&evacuate("z", true, 0), 1);
+    workflows.apply(&begin(1, &[run(7, 0, 0, 1)]), 1);
+    assert!(workflows.workers().get(WorkerId(1)).unwrap().runs.is_empty());
+    workflows.apply(&evacuate("z", false, 1), 1);
+    workflows.apply(&begin(1, &[run(7, 0, 0, 1)]), 1);
+    assert_eq!(workflows.workers().get(WorkerId(1)).unwrap().runs.len(), 1);
 }
 
 #[test]
@@ -461,8 +482,8 @@
     state.apply_workflow(1, 9, &evacuate("z", true, 0));
     let read = State::from_bytes(&state.to_bytes().unwrap()).unwrap();
     assert!(read.workflows.evacuations().contains("z"));
-    // Where there are none, failures take three bytes at the end, suspected tasks three before them,
-    // and evacuations two before these: revision 0 and an empty list.
+    // If empty, failures take the last three bytes, suspected tasks the three before them, and
+    // evacuations the two before these: revision 0 and an empty list.
     for missing in [3, 6, 8] {
         let read = State::from_bytes(&older[..older.len() - missing]).unwrap();
         assert_eq!(read.workflows.evacuations(), &Evacuations::default());
@@ -474,8 +495,8 @@
     assert!(State::from_bytes(&[&older[..], &[0]].concat()).is_err());
 }
 
-/// Lets a task begin and its worker crash under it, so many times, with others that outlive it.
-fn crash_under(state: &mut State, times: u32, age_ms: u64) {
+/// Starts a task on a new worker `times` times, and lets each worker crash `age_ms` later.
+fn crash_workers_under(state: &mut State, times: u32, age_ms: u64) {
     for it in 1..=times {
         let at_ms = 10_000 + u64::from(it) * 5_000;
         let name = format!("w-{it}");
@@ -487,7 +508,7 @@
     }
 }
 
-fn submitted() -> State {
+fn submitted_state() -> State {
     let mut state = State::new(Place { region: 1, group: 1 });
     for it in [WorkflowCommand::Install(queues(1)), submit(7, spec(vec![step(2, 1, &[])]))] {
         state.apply_workflow(1, 1, &it);
@@ -507,15 +528,15 @@
     age_ms: u64,
     expected: WorkflowPhase,
 ) {
-    let mut state = submitted();
-    crash_under(&mut state, times, age_ms);
+    let mut state = submitted_state();
+    crash_workers_under(&mut state, times, age_ms);
     assert_eq!(state.workflows.get(WorkflowId(7)).unwrap().phase(), expected);
 }
 
 #[test]
 fn what_is_held_against_tasks_is_in_the_snapshot() {
-    let mut state = submitted();
-    crash_under(&mut state, 1, 300);
+    let mut state = submitted_state();
+    crash_workers_under(&mut state, 1, 300);
     let read = State::from_bytes(&state.to_bytes().unwrap()).unwrap();
     assert_eq!(read.workflows.suspects(), state.workflows.suspects());
     assert_eq!(read.workflows.suspects().len(), 1);
@@ -523,15 +544,15 @@
     assert!(state.workflows.suspects().is_empty());
 }
 
-/// A task that lasts loses workers over its life; what it outlived meanwhile speaks for it, also
-/// where its worker only fell silent.
+/// A long-running task loses workers now and then. Long runs between the losses are evidence against
+/// it being the cause, also where a worker only fell silent.
 #[yare::parameterized(
     silence = { RunOutcome::Lapsed },
     unseen = { RunOutcome::CrashedUnseen },
     seen = { RunOutcome::Crashed },
 )]
 fn long_lives_between_losses_clear_a_task(outcome: RunOutcome) {
-    let mut state = submitted();
+    let mut state = submitted_state();
     for it in 1..=12 {
         let at_ms = 10_000 + u64::from(it) * 60_000;
         let name = format!("w-{it}");
--- a/tests/workflows/main.rs
+++ b/tests/workflows/main.rs
@@ -1,8 +1,9 @@
-//! Workflows under faults: members, gateways and nodes under virtual time, with stand-in workers
-//! that lease, fence, forget and carry orders out late, and checkers over what the workers saw.
+//! Workflows under faults: control members, gateways and nodes run under virtual time with simulated
+//! workers. These enforce leases and fencing tokens, lose their state when they crash and may execute
+//! orders late. Checkers verify invariants on what the workers observed.
 //!
-//! `cargo test --release --test workflows -- --ignored --nocapture` tries many more seeds;
-//! `ASPENRAIL_SEEDS` says how many.
+//! `cargo test --release --test workflows -- --ignored --nocapture` runs many more seeds;
+//! `ASPENRAIL_SEEDS` sets their number.
 #![allow(clippy::unwrap_used)]
 
 mod capacity;
--- a/tests/workflows/worker.rs
+++ b/tests/workflows/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in worker: it runs what it is told under a lease and a fence, and lists ends.
+//! A simulated worker: it executes runs under a lease and a fencing token, and lists ended runs.
 
 use std::collections::BTreeMap;
 
@@ -13,20 +13,20 @@
 pub const CAPACITY: Resources =
     Resources { cpu_millicores: 16_000, memory_mib: 32_000, accelerators: 0 };
 
-/// Time for which a capacity that has shrunk still counts, as users allow: that of contact, and an
-/// announcement.
-const SHRUNK_COUNTS_MS: u64 = 3_500;
+/// Time for which the capacity before a reduction may still be used. Users allow the time of contact
+/// and one announcement interval.
+const OLD_CAPACITY_GRACE_MS: u64 = 3_500;
 
-/// Start of the first lifetimes.
-const BORN_MS: u64 = 1_699_999_000_000;
+/// Start time of the first incarnations.
+const FIRST_START_UNIX_MS: u64 = 1_699_999_000_000;
 
-/// Run times and ends of tasks, known to the stand-ins only.
+/// Run time and outcome of the tasks of a workflow, known to the simulated workers only.
 #[derive(Clone, Copy, Debug)]
 pub struct Nature {
     pub work_ms: u64,
-    /// Every n-th run fails; 0 never.
+    /// Every n-th run fails; 0 means that none does.
     pub fails_every: u32,
-    /// One task of each step takes down the worker that starts it.
+    /// The task of each step, if any, that crashes the worker that starts it.
     pub crash: Option<Crash>,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl Nature {
-    /// Returns when a run that began takes its worker down.
+    /// Returns when a run crashes its worker, if it does.
     fn crashes_ms(&self, run: RunRef, began_ms: u64) -> Option<u64> {
         self.crash.filter(|it| it.index == run.task.index).map(|it| began_ms + it.after_ms)
     }
@@ -56,39 +56,39 @@
     }
 }
 
-/// One VM's worker, over all its lifetimes.
+/// The worker of one VM, over all its incarnations.
 #[derive(Debug)]
 pub struct FakeWorker {
     pub vm: usize,
     pub lifetime: u32,
-    /// Rises with each lifetime that comes with an id of its own.
+    /// Incremented by each incarnation that has a new id.
     id_number: u32,
-    /// Unix millisecond of its start.
+    /// Start time of the incarnation, in Unix milliseconds.
     pub started_unix_ms: u64,
-    /// When its clock began.
-    clock_from_ms: u64,
+    /// Virtual time at which the clock of the incarnation started.
+    clock_start_ms: u64,
     pub up: bool,
     pub sequence: u64,
     pub draining: bool,
-    /// What runs here stands still.
+    /// Whether runs on this worker make no progress.
     pub stalls: bool,
-    /// What runs here fails, whatever it is.
+    /// Whether every run on this worker fails.
     pub fails_all: bool,
-    /// Whether it refuses what does not fit; else it starts whatever it is told.
-    pub guards: bool,
-    /// Whether the call at hand is carried out late, which is no fault of who made it.
+    /// Whether the worker refuses runs that do not fit. If not, it starts all of them.
+    pub checks_capacity: bool,
+    /// Whether the current call is executed late, for which its sender is not to blame.
     pub is_late: bool,
-    /// What it had, from when on; the last is what it has.
+    /// Capacities with the time from which each applied; the last one is current.
     capacities: Vec<(u64, Resources)>,
     token: u64,
     lease_until_ms: u64,
     running: BTreeMap<RunRef, Running>,
-    highest: BTreeMap<TaskRef, u32>,
+    highest_run_numbers: BTreeMap<TaskRef, u32>,
     ended: Vec<EndedRun>,
-    /// Ends up to here were listed when the lease ran out: to take note of them then binds nobody.
-    lapsed_ends: u64,
-    next_end: u64,
-    acked: u64,
+    /// Cursor of the newest end when the lease expired. Acknowledging ends up to it has no effect.
+    lapsed_cursor: u64,
+    next_cursor: u64,
+    acked_cursor: u64,
 }
 
 impl FakeWorker {
@@ -97,54 +97,54 @@
             vm,
             lifetime: 0,
             id_number: 0,
-            started_unix_ms: BORN_MS + vm as u64,
-            clock_from_ms: 0,
+            started_unix_ms: FIRST_START_UNIX_MS + vm as u64,
+            clock_start_ms: 0,
             up: true,
             sequence: 0,
             draining: false,
             stalls: false,
             fails_all: false,
-            guards: true,
+            checks_capacity: true,
             is_late: false,
             capacities: vec![(0, CAPACITY)],
             token: 0,
             lease_until_ms: 0,
             running: BTreeMap::new(),
-            highest: BTreeMap::new(),
+            highest_run_numbers: BTreeMap::new(),
             ended: Vec::new(),
-            lapsed_ends: 0,
-            next_end: 1,
-            acked: 0,
+            lapsed_cursor: 0,
+            next_cursor: 1,
+            acked_cursor: 0,
         }
     }
 
-    /// Returns a name of this lifetime alone, by which the checkers know it.
+    /// Returns a name that is unique to this incarnation, for the checkers.
     pub fn name(&self) -> CompactString {
         format_compact!("worker-{}-{}", self.vm, self.lifetime)
     }
 
-    /// Returns the id that it goes by, which an earlier lifetime may have had.
+    /// Returns the id of the worker, which an earlier incarnation may have had.
     pub fn id(&self) -> CompactString {
         format_compact!("worker-{}-{}", self.vm, self.id_number)
     }
 
-    /// Crashes: everything that runs is gone, and so is what it knew.
+    /// Crashes the worker: it loses all runs and all its state.
     pub fn crash(&mut self, keeps_id: bool, rules: &mut Ledger) {
-        rules.worker_died(&self.name(), self.running.keys());
+        rules.record_worker_crash(&self.name(), self.running.keys());
         *self = FakeWorker {
             lifetime: self.lifetime + 1,
             id_number: self.id_number + u32::from(!keeps_id),
             up: false,
-            guards: self.guards,
+            checks_capacity: self.checks_capacity,
             ..FakeWorker::new(self.vm)
         };
     }
 
-    /// Starts again: its numbers and its clock begin anew.
+    /// Starts the next incarnation, whose sequence numbers and clock start anew.
     pub fn revive(&mut self, now_ms: u64, started_unix_ms: u64) {
         self.up = true;
         self.started_unix_ms = started_unix_ms;
-        self.clock_from_ms = now_ms;
+        self.clock_start_ms = now_ms;
     }
 
     pub fn announce(&mut self, now_ms: u64) -> Announcement {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Changes what it has while it runs.
+    /// Changes the capacity while the worker runs.
     pub fn resize(&mut self, capacity: Resources, now_ms: u64) {
         self.capacities.push((now_ms, capacity));
     }
@@ -173,37 +173,37 @@
         self.capacities.last().map_or(CAPACITY, |(_, it)| *it)
     }
 
-    /// Returns the most that may be in use: a capacity counts for some time after it has shrunk.
-    fn allowed(&self, now_ms: u64) -> Resources {
-        let until = self.capacities.iter().skip(1).map(|(from_ms, _)| *from_ms);
-        let until = until.chain(std::iter::once(u64::MAX));
+    /// Returns the most that may be in use. An earlier capacity counts for [`OLD_CAPACITY_GRACE_MS`].
+    fn allowed_usage(&self, now_ms: u64) -> Resources {
+        let ends_ms = self.capacities.iter().skip(1).map(|(from_ms, _)| *from_ms);
+        let ends_ms = ends_ms.chain(std::iter::once(u64::MAX));
         let counting =
-            self.capacities.iter().zip(until).filter(|(_, until_ms)| {
-                *until_ms == u64::MAX || now_ms <= until_ms + SHRUNK_COUNTS_MS
+            self.capacities.iter().zip(ends_ms).filter(|(_, end_ms)| {
+                *end_ms == u64::MAX || now_ms <= end_ms + OLD_CAPACITY_GRACE_MS
             });
-        let most = |of: fn(&Resources) -> u32| {
-            counting.clone().map(|((_, it), _)| of(it)).max().unwrap_or(0)
+        let max_of = |amount: fn(&Resources) -> u32| {
+            counting.clone().map(|((_, it), _)| amount(it)).max().unwrap_or(0)
         };
         Resources {
-            cpu_millicores: most(|it| it.cpu_millicores),
-            memory_mib: most(|it| it.memory_mib),
-            accelerators: most(|it| it.accelerators),
+            cpu_millicores: max_of(|it| it.cpu_millicores),
+            memory_mib: max_of(|it| it.memory_mib),
+            accelerators: max_of(|it| it.accelerators),
         }
     }
 
-    /// Returns what is in use with one more run.
+    /// Returns the resources in use if `run` is added.
     fn used_with(&self, run: RunRef, rules: &Ledger) -> Resources {
         let runs = self.running.keys().copied().chain(std::iter::once(run));
         runs.filter_map(|it| rules.reservation_of(it)).fold(NO_RESOURCES, add)
     }
 
-    /// Its own clock, with an offset of its own.
+    /// Returns the reading of the worker's clock, which has its own offset.
     fn clock(&self, now_ms: u64) -> u64 {
         let offset_ms = if self.lifetime == 0 { 1_000_000 * (self.vm as u64 + 1) } else { 1 };
-        now_ms - self.clock_from_ms + offset_ms
+        now_ms - self.clock_start_ms + offset_ms
     }
 
-    /// Returns a run that takes the worker down now.
+    /// Returns a run that crashes the worker now.
     pub fn crashing_run(&self, now_ms: u64, nature: &BTreeMap<u64, Nature>) -> Option<RunRef> {
         let is_due = |(run, it): &(&RunRef, &Running)| {
             let crashes_ms = nature[&run.task.workflow.0].crashes_ms(**run, it.began_ms);
@@ -212,27 +212,27 @@
         self.running.iter().find(is_due).map(|(run, _)| *run)
     }
 
-    /// Lets time pass: work ends, and leases run out.
+    /// Ends the runs that are due, and all runs if the lease has expired.
     pub fn tick(&mut self, now_ms: u64, nature: &BTreeMap<u64, Nature>, rules: &mut Ledger) {
         if self.lease_until_ms < self.clock(now_ms) {
             let lapsed: Vec<_> = self.running.keys().copied().collect();
             for run in lapsed {
                 self.end(run, RunOutcome::Lapsed, rules);
             }
-            self.lapsed_ends = self.next_end - 1;
-            self.ended.iter().for_each(|it| rules.lapsed_after(it.end.run));
+            self.lapsed_cursor = self.next_cursor - 1;
+            self.ended.iter().for_each(|it| rules.record_lapse(it.end.run));
             return;
         }
         if self.stalls {
             return;
         }
-        let over: Vec<_> = self
+        let due: Vec<_> = self
             .running
             .iter()
             .filter(|(_, it)| it.ends_ms <= now_ms)
             .map(|(run, _)| *run)
             .collect();
-        for run in over {
+        for run in due {
             let fails_every = nature[&run.task.workflow.0].fails_every;
             let fails = self.fails_all
                 || 0 < fails_every && (run.run + run.task.index).is_multiple_of(fails_every);
@@ -243,13 +243,13 @@
 
     fn end(&mut self, run: RunRef, outcome: RunOutcome, rules: &mut Ledger) {
         self.running.remove(&run);
-        rules.ended(run, outcome);
+        rules.record_end(run, outcome);
         let end = RunEnd { run, outcome, checkpoint: CompactString::default() };
-        self.ended.push(EndedRun { cursor: self.next_end, end });
-        self.next_end += 1;
+        self.ended.push(EndedRun { cursor: self.next_cursor, end });
+        self.next_cursor += 1;
     }
 
-    /// Carries out a call, also one that comes late.
+    /// Executes a call, which may have been delayed.
     pub fn handle(
         &mut self,
         call: &WorkerCall,
@@ -268,10 +268,10 @@
         match &call.action {
             Action::Poll { lease_until_ms, acked_cursor, .. } => {
                 self.lease_until_ms = self.lease_until_ms.max(lease_until_ms.unwrap_or(0));
-                self.acked = self.acked.max(*acked_cursor);
-                let (acked, lapsed) = (self.acked, self.lapsed_ends);
+                self.acked_cursor = self.acked_cursor.max(*acked_cursor);
+                let (acked, lapsed) = (self.acked_cursor, self.lapsed_cursor);
                 for it in self.ended.iter().filter(|it| lapsed < it.cursor && it.cursor <= acked) {
-                    rules.taken_note_of(it.end.run, it.end.outcome);
+                    rules.record_noted_end(it.end.run, it.end.outcome);
                 }
                 self.ended.retain(|it| acked < it.cursor);
                 let stalls = self.stalls;
@@ -295,7 +295,7 @@
                 if self.running.contains_key(run) {
                     self.end(*run, RunOutcome::Stopped, rules);
                 }
-                let highest = self.highest.entry(run.task).or_insert(0);
+                let highest = self.highest_run_numbers.entry(run.task).or_insert(0);
                 *highest = (*highest).max(run.run);
                 CallResult::Done { clock_ms }
             }
@@ -315,7 +315,7 @@
         if self.running.contains_key(&run) {
             return CallResult::Done { clock_ms };
         }
-        if run.run <= self.highest.get(&run.task).copied().unwrap_or(0) {
+        if run.run <= self.highest_run_numbers.get(&run.task).copied().unwrap_or(0) {
             return CallResult::Refused { clock_ms, cause: CallRefusal::Superseded };
         }
         if lease_until_ms < clock_ms {
@@ -323,20 +323,20 @@
         }
         self.lease_until_ms = self.lease_until_ms.max(lease_until_ms);
         let used = self.used_with(run, rules);
-        if self.guards && !fits(used, self.capacity()) {
+        if self.checks_capacity && !fits(used, self.capacity()) {
             return CallResult::Refused { clock_ms, cause: CallRefusal::Room };
         }
-        if !self.is_late && !fits(used, self.allowed(now_ms)) {
-            let allowed = self.allowed(now_ms);
+        if !self.is_late && !fits(used, self.allowed_usage(now_ms)) {
+            let allowed = self.allowed_usage(now_ms);
             rules.broken.push(format!(
-                "{now_ms}: {run:?} fills {} to {used:?} of {allowed:?}",
+                "{now_ms}: {run:?} makes {} use {used:?}, more than {allowed:?}",
                 self.name()
             ));
         }
-        self.highest.insert(run.task, run.run);
+        self.highest_run_numbers.insert(run.task, run.run);
         let work_ms = nature[&run.task.workflow.0].work_ms;
         self.running.insert(run, Running { began_ms: now_ms, ends_ms: now_ms + work_ms });
-        rules.started(run, &self.name(), now_ms);
+        rules.record_start(run, &self.name(), now_ms);
         CallResult::Done { clock_ms }
     }
 }
--- a/tests/workflows/world.rs
+++ b/tests/workflows/world.rs
@@ -1,4 +1,4 @@
-//! Cores, links, disks and stand-in workers under one virtual clock.
+//! Protocol cores, links, disks and simulated workers under one virtual clock.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -26,11 +26,11 @@
 
 const GROUP_ID: Place = Place { region: 1, group: 1 };
 
-/// Time after which a worker that crashed is back.
+/// Time after which a worker that was crashed by a task restarts.
 const CRASH_DOWN_MS: u64 = 3_000;
 
-/// One crash in so many is followed by a late announcement of the lifetime that is over.
-const LATE_WORDS: u32 = 4;
+/// One crash in this many is followed by a late announcement of the crashed incarnation.
+const CRASHES_PER_LATE_ANNOUNCEMENT: u32 = 4;
 
 const HOUR_MS: u64 = 3_600_000;
 
@@ -59,10 +59,10 @@
         id: u64,
         call: WorkerCall,
     },
-    /// An order that a lifetime of a worker carries out late, and never answers.
+    /// An order that a worker incarnation executes late and does not answer.
     LateCall {
         vm: usize,
-        lifetime: u32,
+        incarnation: u32,
         call: WorkerCall,
     },
     Result {
@@ -80,10 +80,10 @@
     Revive {
         vm: usize,
     },
-    /// An announcement of a lifetime that has crashed meanwhile.
-    LastWord {
+    /// An announcement of an incarnation that has crashed since.
+    LateAnnouncement {
         vm: usize,
-        it: Box<node::Announcement>,
+        announcement: Box<node::Announcement>,
     },
 }
 
@@ -100,7 +100,7 @@
     pub worker: FakeWorker,
 }
 
-/// Processes 0.. are members, 100 is the gateway, 200.. are nodes.
+/// Processes 0.. are control members, 100 is the gateway, 200.. are nodes.
 pub struct World {
     pub now_ms: u64,
     pub random: fastrand::Rng,
@@ -113,27 +113,26 @@
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
     next_token: u64,
-    /// Time by which all clocks of day are ahead.
+    /// Offset that is added to all wall clocks.
     pub wall_ahead_ms: u64,
-    /// Members whose disk refuses writes, with the newest of these.
-    refusing: BTreeMap<usize, u64>,
-    /// Processes that reach nobody over links.
+    /// Members whose disk refuses writes, with the number of the newest refused write, or 0.
+    refused_writes: BTreeMap<usize, u64>,
+    /// Processes that are disconnected from all others.
     pub cut: BTreeSet<usize>,
-    /// VMs whose node stands still: what reaches it waits until it goes on.
+    /// VMs whose node process is suspended, with the inputs that wait until it resumes.
     pub frozen: BTreeMap<usize, Vec<node::Input>>,
-    /// Share of workers' calls that get no answer and are carried out late, in percent.
+    /// Percentage of orders to workers that get no answer and are executed late.
     pub late_percent: u32,
-    /// Orders to workers are lost; looks at them are answered.
+    /// Whether orders to workers are lost. Polls are still answered.
     pub loses_orders: bool,
-    /// Whether connections to a worker that is down are refused; else calls get no answer.
+    /// Whether workers that are down refuse connections. If not, calls get no answer.
     pub refuses_connections: bool,
-    /// Whether workers that crashed are back under the id that they had; by lot where it is not
-    /// said.
+    /// Whether crashed workers restart under the id that they had. Random if `None`.
     pub keeps_ids: Option<bool>,
-    /// What members that start from now on are told of leases.
+    /// Lease duration of the members that start from now on.
     pub lease_ms: u64,
-    /// Draws what lifetimes of workers are like.
-    lives: fastrand::Rng,
+    /// Random source for the properties of worker incarnations, separate from `random`.
+    worker_random: fastrand::Rng,
 }
 
 impl World {
@@ -163,7 +162,7 @@
             next_event: 0,
             next_token: 0,
             wall_ahead_ms: 0,
-            refusing: BTreeMap::new(),
+            refused_writes: BTreeMap::new(),
             cut: BTreeSet::new(),
             frozen: BTreeMap::new(),
             late_percent: 0,
@@ -171,24 +170,24 @@
             refuses_connections: false,
             keeps_ids: None,
             lease_ms: dispatch_options().lease_ms,
-            lives: fastrand::Rng::with_seed(!seed),
+            worker_random: fastrand::Rng::with_seed(!seed),
         };
         let founders: Vec<_> = controls
             .iter()
             .enumerate()
-            .map(|(at, it)| aspenrail::prelude::Member {
-                id: MemberId(at as u64 + 1),
-                address: *it,
+            .map(|(index, control)| aspenrail::prelude::Member {
+                id: MemberId(index as u64 + 1),
+                address: *control,
             })
             .collect();
-        for at in 0..members {
+        for index in 0..members {
             let recovered = RecoveredState {
                 initial_members: Membership { voters: founders.clone(), learners: Vec::new() },
                 ..RecoveredState::default()
             };
-            let (disk, id) = (FakeDisk::new(recovered), MemberId(at as u64 + 1));
+            let (disk, id) = (FakeDisk::new(recovered), MemberId(index as u64 + 1));
             res.members.push(Member { core: None, disk, id, boot: 0 });
-            res.start_member(at);
+            res.start_member(index);
         }
         for vm in 0..nodes {
             res.nodes.push(Node { core: None, boot: 0, worker: FakeWorker::new(vm) });
@@ -211,11 +210,11 @@
         (0..self.members.len()).map(address).collect()
     }
 
-    fn start_member(&mut self, at: usize) {
+    fn start_member(&mut self, index: usize) {
         let options = ControlOptions {
             group_id: GROUP_ID,
-            member: self.members[at].id,
-            address: address(at),
+            member: self.members[index].id,
+            address: address(index),
             control_addresses: self.controls(),
             settings: control_settings(),
             boot: self.random.u64(..),
@@ -223,37 +222,37 @@
             target_voter_count: 3,
         };
         let now = self.now();
-        let member = &mut self.members[at];
+        let member = &mut self.members[index];
         member.boot = options.boot;
         let recovered = member.disk.crash(0);
         member.core = Some(Box::new(ControlCore::new(options, recovered, now).unwrap()));
-        self.tell_member(at, control::Input::Tick);
+        self.handle_member_input(index, control::Input::Tick);
     }
 
-    /// Kills a member; `wiped` loses its disk, and it comes back under a new identity.
-    pub fn kill_member(&mut self, at: usize, down_ms: u64, wiped: bool) {
-        self.members[at].core = None;
-        self.members[at].disk.crash(0);
+    /// Kills a member. If `wiped`, it loses its disk and restarts with a new member id.
+    pub fn kill_member(&mut self, index: usize, down_ms: u64, wiped: bool) {
+        self.members[index].core = None;
+        self.members[index].disk.crash(0);
         if wiped {
-            self.members[at].disk = FakeDisk::new(RecoveredState::default());
-            self.members[at].id = MemberId(self.random.u64(1_000..1 << 40));
+            self.members[index].disk = FakeDisk::new(RecoveredState::default());
+            self.members[index].id = MemberId(self.random.u64(1_000..1 << 40));
         }
-        self.push(down_ms, Event::Restart { process: at });
+        self.push(down_ms, Event::Restart { process: index });
     }
 
-    /// Lets the disk of a member refuse what is written.
-    pub fn refuse_writes(&mut self, at: usize) {
-        self.refusing.insert(at, 0);
-        self.tell_member(at, control::Input::DiskWritesRefused(true));
+    /// Makes the disk of a member refuse writes.
+    pub fn refuse_writes(&mut self, index: usize) {
+        self.refused_writes.insert(index, 0);
+        self.handle_member_input(index, control::Input::DiskWritesRefused(true));
     }
 
-    /// Lets the disk of a member take what it refused.
-    pub fn take_writes(&mut self, at: usize) {
-        let number = self.refusing.remove(&at).filter(|it| 0 < *it);
-        self.tell_member(at, control::Input::DiskWritesRefused(false));
+    /// Makes the disk of a member accept writes, including those that it refused.
+    pub fn accept_writes(&mut self, index: usize) {
+        let number = self.refused_writes.remove(&index).filter(|it| 0 < *it);
+        self.handle_member_input(index, control::Input::DiskWritesRefused(false));
         if let Some(number) = number {
-            let boot = self.members[at].boot;
-            self.push(6, Event::Synced { process: at, boot, number });
+            let boot = self.members[index].boot;
+            self.push(6, Event::Synced { process: index, boot, number });
         }
     }
 
@@ -278,36 +277,39 @@
         self.push(down_ms, Event::Restart { process: 200 + vm });
     }
 
-    /// Lets the node of a VM stand still.
+    /// Suspends the node process of a VM.
     pub fn freeze_node(&mut self, vm: usize) {
         self.frozen.entry(vm).or_default();
     }
 
-    /// Lets the nodes that stand still go on.
+    /// Resumes all suspended nodes, which handle the inputs that arrived meanwhile.
     pub fn thaw_nodes(&mut self) {
         for (vm, inputs) in std::mem::take(&mut self.frozen) {
-            inputs.into_iter().for_each(|it| self.tell_node(vm, it));
+            inputs.into_iter().for_each(|it| self.handle_node_input(vm, it));
         }
     }
 
     pub fn crash_worker(&mut self, vm: usize, down_ms: u64) {
-        let last_word = self.nodes[vm].worker.announce(self.now_ms);
-        let keeps_id = self.keeps_ids.unwrap_or_else(|| self.lives.bool());
+        let announcement = self.nodes[vm].worker.announce(self.now_ms);
+        let keeps_id = self.keeps_ids.unwrap_or_else(|| self.worker_random.bool());
         self.nodes[vm].worker.crash(keeps_id, &mut self.rules);
         self.push(down_ms, Event::Revive { vm });
-        if self.lives.u32(0..LATE_WORDS) == 0 {
-            let after_ms = self.lives.u64(0..down_ms + 2_000);
-            self.push(after_ms, Event::LastWord { vm, it: Box::new(last_word) });
+        if self.worker_random.u32(0..CRASHES_PER_LATE_ANNOUNCEMENT) == 0 {
+            let after_ms = self.worker_random.u64(0..down_ms + 2_000);
+            self.push(
+                after_ms,
+                Event::LateAnnouncement { vm, announcement: Box::new(announcement) },
+            );
         }
     }
 
-    /// Crashes a worker because of a run on it.
-    fn crash_by(&mut self, vm: usize, run: RunRef) {
-        self.rules.crashed_by(run);
+    /// Crashes a worker and records the run that caused it.
+    fn crash_worker_by_run(&mut self, vm: usize, run: RunRef) {
+        self.rules.record_crash_by(run);
         self.crash_worker(vm, CRASH_DOWN_MS);
     }
 
-    /// Returns the member that leads.
+    /// Returns the index of the member that is the leader.
     pub fn leader(&self) -> usize {
         let leads = |it: &Member| it.core.as_ref().is_some_and(|it| it.raft().is_leader());
         self.members.iter().position(leads).unwrap()
@@ -318,7 +320,7 @@
         self.next_token += 1;
         let (token, now) = (self.next_token, self.now());
         self.gateway.handle(now, gateway::Input::Request { token, request, wait_ms: 3_000 });
-        self.carry_gateway();
+        self.apply_gateway_effects();
         token
     }
 
@@ -328,7 +330,7 @@
         self.request(WorkflowRequest::Submit(WorkflowSubmission { target: target(id), spec }))
     }
 
-    /// Lets time pass.
+    /// Advances the virtual clock by `time_ms`, one millisecond at a time.
     pub fn run_for(&mut self, time_ms: u64) {
         let until_ms = self.now_ms + time_ms;
         while self.now_ms < until_ms {
@@ -345,26 +347,27 @@
             self.handle(event);
         }
         let now = self.now();
-        for at in 0..self.members.len() {
-            if self.members[at].core.as_ref().is_some_and(|it| it.next_tick_ms() <= now.mono_ms) {
-                self.tell_member(at, control::Input::Tick);
+        for index in 0..self.members.len() {
+            if self.members[index].core.as_ref().is_some_and(|it| it.next_tick_ms() <= now.mono_ms)
+            {
+                self.handle_member_input(index, control::Input::Tick);
             }
         }
         for vm in 0..self.nodes.len() {
             if let Some(run) = self.nodes[vm].worker.crashing_run(now.mono_ms, &self.nature) {
-                self.crash_by(vm, run);
+                self.crash_worker_by_run(vm, run);
             }
             let worker = &mut self.nodes[vm].worker;
             worker.tick(now.mono_ms, &self.nature, &mut self.rules);
             let is_due =
                 self.nodes[vm].core.as_ref().is_some_and(|it| it.next_tick_ms() <= now.mono_ms);
             if is_due && !self.frozen.contains_key(&vm) {
-                self.tell_node(vm, node::Input::Tick);
+                self.handle_node_input(vm, node::Input::Tick);
             }
         }
         if self.gateway.next_tick_ms() <= now.mono_ms {
             self.gateway.handle(now, gateway::Input::Tick);
-            self.carry_gateway();
+            self.apply_gateway_effects();
         }
     }
 
@@ -373,13 +376,13 @@
             Event::Deliver { to, from, message } => self.deliver(to, from, *message),
             Event::Synced { process, boot, number } if self.members[process].boot == boot => {
                 self.members[process].disk.sync(number);
-                self.tell_member(process, control::Input::Persisted { number });
+                self.handle_member_input(process, control::Input::Persisted { number });
             }
-            Event::LateCall { vm, lifetime, call } => {
+            Event::LateCall { vm, incarnation, call } => {
                 let worker = &self.nodes[vm].worker;
-                // What had not been carried out by a crash never is.
-                if worker.up && worker.lifetime == lifetime {
-                    self.carry_out(vm, &call, true);
+                // Orders of an incarnation that has crashed are never executed.
+                if worker.up && worker.lifetime == incarnation {
+                    self.execute_call(vm, &call, true);
                 }
             }
             Event::Call { vm, boot, id, call } => {
@@ -390,49 +393,51 @@
                     };
                     return self.push(after_ms, Event::Result { vm, boot, id, result });
                 }
-                let result = self.carry_out(vm, &call, false);
+                let result = self.execute_call(vm, &call, false);
                 self.push(1, Event::Result { vm, boot, id, result });
             }
             Event::Result { vm, boot, id, result } if self.nodes[vm].boot == boot => {
-                self.tell_node(vm, node::Input::CallEnded { id, result });
+                self.handle_node_input(vm, node::Input::CallEnded { id, result });
             }
             Event::Announce { vm } => {
                 self.push(ANNOUNCE_MS, Event::Announce { vm });
                 if self.nodes[vm].worker.up {
                     let now_ms = self.now_ms;
-                    let it = self.nodes[vm].worker.announce(now_ms);
-                    self.tell_node(vm, node::Input::WorkerAnnounced(it));
+                    let announcement = self.nodes[vm].worker.announce(now_ms);
+                    self.handle_node_input(vm, node::Input::WorkerAnnounced(announcement));
                 }
             }
             Event::Restart { process } if process < 100 => self.start_member(process),
             Event::Restart { process } => self.start_node(process - 200),
             Event::Revive { vm } => {
                 let now = self.now();
-                // Its clock of day may have been set back.
-                let back_ms = if self.lives.u32(0..4) == 0 { HOUR_MS } else { 0 };
+                // The wall clock may have been set back.
+                let back_ms = if self.worker_random.u32(0..4) == 0 { HOUR_MS } else { 0 };
                 self.nodes[vm].worker.revive(now.mono_ms, now.wall_ms - back_ms);
             }
-            Event::LastWord { vm, it } => self.tell_node(vm, node::Input::WorkerAnnounced(*it)),
+            Event::LateAnnouncement { vm, announcement } => {
+                self.handle_node_input(vm, node::Input::WorkerAnnounced(*announcement))
+            }
             Event::Synced { .. } | Event::Result { .. } => (),
         }
     }
 
-    /// Lets a worker that is up carry out a call, which may take it down.
-    fn carry_out(&mut self, vm: usize, call: &WorkerCall, is_late: bool) -> CallResult {
+    /// Executes a call on a worker that is up, which may crash the worker.
+    fn execute_call(&mut self, vm: usize, call: &WorkerCall, is_late: bool) -> CallResult {
         let now_ms = self.now_ms;
         let worker = &mut self.nodes[vm].worker;
         worker.is_late = is_late;
-        let starts = self.rules.starts;
+        let starts_before = self.rules.starts;
         let result = worker.handle(call, now_ms, &self.nature, &mut self.rules);
         if let Some(run) = worker.crashing_run(now_ms, &self.nature) {
-            self.crash_by(vm, run);
+            self.crash_worker_by_run(vm, run);
             return CallResult::NoAnswer;
         }
         if let node::Action::Start { run, .. } = call.action
             && !is_late
-            && starts < self.rules.starts
+            && starts_before < self.rules.starts
         {
-            self.rules.started_in(&zone_of(vm), run, now_ms);
+            self.rules.check_start_zone(&zone_of(vm), run, now_ms);
         }
         result
     }
@@ -446,10 +451,12 @@
             100 => {
                 let now = self.now();
                 self.gateway.handle(now, gateway::Input::Message(Box::new(message)));
-                self.carry_gateway();
+                self.apply_gateway_effects();
+            }
+            id if 200 <= id => {
+                self.handle_node_input(id - 200, node::Input::Message(Box::new(message)))
             }
-            it if 200 <= it => self.tell_node(it - 200, node::Input::Message(Box::new(message))),
-            it => self.tell_member(it, control::Input::Message { from, message }),
+            member => self.handle_member_input(member, control::Input::Message { from, message }),
         }
     }
 
@@ -458,20 +465,20 @@
         self.push(delay_ms, Event::Deliver { to, from, message: Box::new(message) });
     }
 
-    fn tell_member(&mut self, at: usize, input: control::Input) {
+    fn handle_member_input(&mut self, index: usize, input: control::Input) {
         let now = self.now();
-        let Some(core) = &mut self.members[at].core else { return };
+        let Some(core) = &mut self.members[index].core else { return };
         core.handle(now, input).unwrap();
         let effects = core.take_effects();
         for effect in effects {
             match effect {
-                control::Effect::Send { to, message } => self.send(address(at), to, message),
+                control::Effect::Send { to, message } => self.send(address(index), to, message),
                 control::Effect::Write { number, writes } => {
-                    self.members[at].disk.write(number, writes);
-                    let boot = self.members[at].boot;
-                    match self.refusing.get_mut(&at) {
+                    self.members[index].disk.write(number, writes);
+                    let boot = self.members[index].boot;
+                    match self.refused_writes.get_mut(&index) {
                         Some(newest) => *newest = number,
-                        None => self.push(6, Event::Synced { process: at, boot, number }),
+                        None => self.push(6, Event::Synced { process: index, boot, number }),
                     }
                 }
                 control::Effect::Answer { .. } => (),
@@ -479,7 +486,7 @@
         }
     }
 
-    fn tell_node(&mut self, vm: usize, input: node::Input) {
+    fn handle_node_input(&mut self, vm: usize, input: node::Input) {
         if let Some(waiting) = self.frozen.get_mut(&vm) {
             return waiting.push(input);
         }
@@ -498,8 +505,8 @@
                         self.push(500, Event::Result { vm, boot, id, result });
                     } else if is_order && self.random.u32(0..100) < self.late_percent {
                         let late_ms = self.random.u64(1_000..8_000);
-                        let lifetime = self.nodes[vm].worker.lifetime;
-                        self.push(late_ms, Event::LateCall { vm, lifetime, call });
+                        let incarnation = self.nodes[vm].worker.lifetime;
+                        self.push(late_ms, Event::LateCall { vm, incarnation, call });
                         self.push(
                             500,
                             Event::Result { vm, boot, id, result: CallResult::NoAnswer },
@@ -512,7 +519,7 @@
         }
     }
 
-    fn carry_gateway(&mut self) {
+    fn apply_gateway_effects(&mut self) {
         for effect in self.gateway.take_effects() {
             match effect {
                 gateway::Effect::Send { to, message } => self.send(address(100), to, message),
@@ -523,7 +530,7 @@
         }
     }
 
-    /// Installs the queue that all workflows of the tests go to, and waits until it is in force.
+    /// Installs the queue that all workflows of the tests use, and waits until that is accepted.
     pub fn install_queue(&mut self) {
         for _ in 0..20 {
             let token = self.request(WorkflowRequest::Install(queues(1)));
@@ -533,10 +540,10 @@
                 return;
             }
         }
-        panic!("no configuration was accepted");
+        panic!("no configuration was accepted after 20 requests");
     }
 
-    /// Asks for the phase of a workflow until somebody answers.
+    /// Requests the phase of a workflow until the gateway answers. Returns `None` if it is gone.
     pub fn phase(&mut self, id: u64) -> Option<WorkflowPhase> {
         for _ in 0..10 {
             let token = self.request(WorkflowRequest::Inspect(target(id)));
@@ -550,7 +557,7 @@
                 _ => (),
             }
         }
-        panic!("nobody answers for workflow {id}");
+        panic!("no answer for workflow {id} after 10 requests");
     }
 }
 
@@ -635,7 +642,7 @@
         listen: address(999),
         operators_file: CompactString::default(),
         quarantine_ms: 0,
-        // Small, so that members that were away are caught up by snapshots too.
+        // Small, so that members that were down also catch up by snapshots.
         snapshot_entries: 200,
         task_failures_max: 1,
         tasks_max: 1,
