--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -1,4 +1,5 @@
-//! The policies against their naive twins, and the properties that users count on.
+//! Compares the policies with simple reference implementations, and checks properties that users rely
+//! on.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -33,7 +34,7 @@
     Resources { cpu_millicores, memory_mib, accelerators: 0 }
 }
 
-/// A cost that differs from VM to VM, and forbids some.
+/// A cost that differs between VMs and excludes some.
 struct SomeCost;
 
 impl PlacementCost for SomeCost {
@@ -41,42 +42,42 @@
         if vm.0.is_multiple_of(7) { f64::INFINITY } else { f64::from(vm.0 % 3) }
     }
 
-    fn same_job_counts(&self, room: &FreeVmCapacity) -> (u32, u32) {
-        (room.zone.len() as u32 % 2, 0)
+    fn same_job_counts(&self, vm: &FreeVmCapacity) -> (u32, u32) {
+        (vm.zone.len() as u32 % 2, 0)
     }
 }
 
 proptest! {
     #![proptest_config(config())]
 
-    /// The bounded search finds a place whenever few enough VMs have to be looked at, never one
-    /// that does not fit, and the very one of the scan where all VMs are candidates.
+    /// The bounded search finds a fitting VM whenever few enough VMs have to be visited. When all
+    /// VMs are candidates, packing finds one of the same cost as the full scan.
     #[test]
     fn bounded_placement_agrees_with_the_scan(
-        rooms in proptest::collection::vec((0_u32..9_000, 0_u32..9_000), 1..12),
+        free_by_vm in proptest::collection::vec((0_u32..9_000, 0_u32..9_000), 1..12),
         need in (1_u32..8_000, 1_u32..8_000),
         spread in any::<bool>(),
     ) {
         let mut index = FreeCapacityIndex::default();
-        for (at, (cpu, memory)) in rooms.iter().enumerate() {
-            let zone = format_compact!("{}", "z".repeat(at % 3 + 1));
-            index.set(VmId(at as u32), Some(FreeVmCapacity { free: resources(*cpu, *memory), zone, rack: "r".into() }));
+        for (vm_index, (cpu, memory)) in free_by_vm.iter().enumerate() {
+            let zone = format_compact!("{}", "z".repeat(vm_index % 3 + 1));
+            index.set(VmId(vm_index as u32), Some(FreeVmCapacity { free: resources(*cpu, *memory), zone, rack: "r".into() }));
         }
         let need = resources(need.0, need.1);
-        let aim = if spread { PlacementStrategy::Spread } else { PlacementStrategy::Pack };
-        let chosen = index.choose(need, aim, &SomeCost);
-        let by_scan = index.choose_by_scan(need, aim, &SomeCost);
+        let strategy = if spread { PlacementStrategy::Spread } else { PlacementStrategy::Pack };
+        let chosen = index.choose(need, strategy, &SomeCost);
+        let by_scan = index.choose_by_scan(need, strategy, &SomeCost);
         prop_assert_eq!(chosen.is_some(), by_scan.is_some());
         if let (Some(chosen), Some(by_scan)) = (chosen, by_scan) {
             prop_assert!(fits(need, index.get(chosen).unwrap().free));
             let key = |vm: VmId| (SomeCost.interference(vm).to_bits(), index.get(vm).unwrap().free.cpu_millicores);
-            if aim == PlacementStrategy::Pack {
+            if strategy == PlacementStrategy::Pack {
                 prop_assert_eq!(key(chosen), key(by_scan));
             }
         }
     }
 
-    /// The queue's order is that of a full sort done anew at every step.
+    /// The queue's order equals that of a full sort repeated at every step.
     #[test]
     fn queue_agrees_with_a_full_sort(
         tasks in proptest::collection::vec((0_usize..3, 0_u8..4, 0_u64..50, 1_u32..2_000), 1..30),
@@ -85,64 +86,64 @@
         let teams = ["a", "b", "c"];
         let mut queue = TaskQueue::default();
         teams.iter().for_each(|it| queue.set_quota(it, Some(quota)));
-        let mut naive: Vec<(usize, Tier, u64, TaskId, u32)> = Vec::new();
-        for (at, (team, tier, rank, cpu)) in tasks.iter().enumerate() {
+        let mut reference: Vec<(usize, Tier, u64, TaskId, u32)> = Vec::new();
+        for (task_index, (team, tier, rank, cpu)) in tasks.iter().enumerate() {
             let tier = [Tier::Urgent, Tier::Service, Tier::Due, Tier::Batch][*tier as usize];
-            let task = TaskId(at as u64);
+            let task = TaskId(task_index as u64);
             queue.insert(teams[*team], task_queue::WaitingTask { task, tier, rank: *rank, need: resources(*cpu, 1), due_ms: None });
-            naive.push((*team, tier, *rank, task, *cpu));
+            reference.push((*team, tier, *rank, task, *cpu));
         }
-        let found: Vec<_> = queue.candidates(usize::MAX).into_iter().map(|it| it.task).collect();
+        let queue_order: Vec<_> = queue.candidates(usize::MAX).into_iter().map(|it| it.task).collect();
         let mut running = [0_u64; 3];
         let mut expected = Vec::new();
-        while !naive.is_empty() {
-            let head = |team: usize| naive.iter().filter(|it| it.0 == team).map(|it| (it.1, it.2, it.3)).min();
+        while !reference.is_empty() {
+            let head = |team: usize| reference.iter().filter(|it| it.0 == team).map(|it| (it.1, it.2, it.3)).min();
             let started = |team: usize| expected.iter().filter(|(it, _)| *it == team).count() as u64;
             let share = |team: usize| running[team].max(started(team)) * 1_000 / 10_000;
             let next = (0..3).filter_map(|team| Some((head(team)?, team)));
             let next = next.min_by_key(|((tier, _, _), team)| (1_000 <= share(*team), *tier != Tier::Urgent, share(*team), teams[*team]));
             let ((_, _, task), team) = next.unwrap();
-            let at = naive.iter().position(|it| it.3 == task).unwrap();
-            running[team] += u64::from(naive.remove(at).4);
+            let position = reference.iter().position(|it| it.3 == task).unwrap();
+            running[team] += u64::from(reference.remove(position).4);
             expected.push((team, task));
         }
-        prop_assert_eq!(found, expected.into_iter().map(|it| it.1).collect::<Vec<_>>());
+        prop_assert_eq!(queue_order, expected.into_iter().map(|it| it.1).collect::<Vec<_>>());
     }
 
-    /// Victims free enough, and none of them is needless.
+    /// The victims free enough resources, and each of them is needed.
     #[test]
     fn victims_are_enough_and_all_needed(
         free in 0_u32..4_000, need in 1_u32..8_000,
-        held in proptest::collection::vec((1_u32..4_000, 0_u64..10_000, any::<bool>()), 0..8),
+        running_tasks in proptest::collection::vec((1_u32..4_000, 0_u64..10_000, any::<bool>()), 0..8),
     ) {
-        let victims: Vec<_> = held.iter().enumerate().map(|(at, (cpu, lost_ms, exceeds_quota))| Victim {
-            task: TaskId(at as u64), resources: resources(*cpu, 0), lost_run_ms: *lost_ms, exceeds_quota: *exceeds_quota,
+        let victims: Vec<_> = running_tasks.iter().enumerate().map(|(task_index, (cpu, lost_ms, exceeds_quota))| Victim {
+            task: TaskId(task_index as u64), resources: resources(*cpu, 0), lost_run_ms: *lost_ms, exceeds_quota: *exceeds_quota,
         }).collect();
         let (need, free) = (resources(need, 0), resources(free, 0));
         let all = victims.iter().map(|it| it.resources).fold(free, add);
         match choose_victims(need, free, &victims) {
             None => prop_assert!(!fits(need, all)),
             Some((chosen, lost_ms)) => {
-                let of = |without: Option<TaskId>| {
+                let freed_without = |without: Option<TaskId>| {
                     let kept = victims.iter().filter(|it| chosen.contains(&it.task) && Some(it.task) != without);
                     kept.map(|it| it.resources).fold(free, add)
                 };
-                prop_assert!(fits(need, of(None)));
-                prop_assert!(chosen.iter().all(|it| !fits(need, of(Some(*it)))), "{:?}", chosen);
+                prop_assert!(fits(need, freed_without(None)));
+                prop_assert!(chosen.iter().all(|it| !fits(need, freed_without(Some(*it)))), "{:?}", chosen);
                 let sum: u64 = victims.iter().filter(|it| chosen.contains(&it.task)).map(|it| it.lost_run_ms).sum();
                 prop_assert_eq!(lost_ms, sum);
             }
         }
     }
 
-    /// Whatever arrives, no team gets more than one turn ahead of another that waits.
+    /// While another team waits, no team is served more than one turn ahead of it.
     #[test]
     fn waiting_teams_take_turns(pushes in proptest::collection::vec(0_usize..3, 1..60)) {
         let teams = ["a", "b", "c"];
         let mut queue = FairQueue::new();
         let mut waiting = BTreeMap::new();
-        for (at, team) in pushes.iter().enumerate() {
-            queue.push(teams[*team], WaitingRequest { key: (at, *team), deadline_ms: 0 }, usize::MAX).unwrap();
+        for (request_index, team) in pushes.iter().enumerate() {
+            queue.push(teams[*team], WaitingRequest { key: (request_index, *team), deadline_ms: 0 }, usize::MAX).unwrap();
             *waiting.entry(*team).or_insert(0) += 1;
         }
         let mut served: BTreeMap<usize, i64> = waiting.keys().map(|it| (*it, 0)).collect();
@@ -150,14 +151,14 @@
             let team = it.key.1;
             *served.get_mut(&team).unwrap() += 1;
             *waiting.get_mut(&team).unwrap() -= 1;
-            for (other, left) in &waiting {
-                prop_assert!(*left == 0 || served[&team] - served[other] <= 1);
+            for (other, requests_left) in &waiting {
+                prop_assert!(*requests_left == 0 || served[&team] - served[other] <= 1);
             }
         }
         prop_assert!(waiting.values().all(|it| *it == 0));
     }
 
-    /// The ledger's arithmetic: what is taken and given back leaves nothing behind.
+    /// Reservations that are added and subtracted again leave no remainder.
     #[test]
     fn reservations_add_up(parts in proptest::collection::vec((0_u32..1_000, 0_u32..1_000), 0..20)) {
         let parts: Vec<_> = parts.into_iter().map(|(cpu, memory)| resources(cpu, memory)).collect();
@@ -166,7 +167,7 @@
     }
 }
 
-/// The table of task states against the rules it has to keep, for every state and step.
+/// Checks the task state table against its invariants, for every state and transition.
 #[test]
 fn every_transition_keeps_the_rules() {
     use TaskState::*;
@@ -186,7 +187,7 @@
         for transition in aspenrail::control::state::TASK_TRANSITIONS {
             for has_checkpoint in [false, true] {
                 let Some(next) = next_state(state, *transition, has_checkpoint) else { continue };
-                assert!(!state.is_final(), "{state} is final, and took {transition:?}");
+                assert!(!state.is_final(), "{state} is final but accepts {transition:?}");
                 assert!(
                     *transition == TaskTransition::Start
                         || !(state.is_waiting() && next.holds_resources()),
@@ -194,9 +195,12 @@
                 );
                 assert!(
                     *transition != TaskTransition::Completed || next == Completed,
-                    "a completion is never lost"
+                    "a completion must lead to Completed"
+                );
+                assert!(
+                    state != Stopping || next.is_final(),
+                    "a task being cancelled must not run again"
                 );
-                assert!(state != Stopping || next.is_final(), "what is cancelled never runs again");
                 assert!(
                     !next.is_waiting() || (next == Evicted) == has_checkpoint,
                     "{state} {transition:?} {next}"
@@ -206,22 +210,26 @@
         let can_end = aspenrail::control::state::TASK_TRANSITIONS
             .iter()
             .any(|it| next_state(state, *it, false).is_some());
-        assert!(state.is_final() || can_end, "{state} is a dead end");
+        assert!(state.is_final() || can_end, "{state} has no transition and is not final");
     }
 }
 
 #[test]
 fn full_queue_costs_the_team_that_fills_it() {
     let mut queue = FairQueue::new();
-    for at in 0..4 {
-        queue.push("noisy", WaitingRequest { key: at, deadline_ms: 0 }, 4).unwrap();
+    for request in 0..4 {
+        queue.push("noisy", WaitingRequest { key: request, deadline_ms: 0 }, 4).unwrap();
     }
     assert_eq!(
         queue.push("noisy", WaitingRequest { key: 9, deadline_ms: 0 }, 4),
         Err(Rejection::TeamShareExceeded)
     );
     let displaced = queue.push("quiet", WaitingRequest { key: 5, deadline_ms: 0 }, 4).unwrap();
-    assert_eq!(displaced.map(|it| it.key), Some(3), "the newest of the noisy team");
+    assert_eq!(
+        displaced.map(|it| it.key),
+        Some(3),
+        "the newest request of the noisy team is displaced"
+    );
     assert_eq!(queue.len(), 4);
 }
 
@@ -247,23 +255,31 @@
             times.observe("t", &format!("kind-{kind}"), 10, 1_000);
         }
     }
-    assert!(10 < times.expected_run_ms("t", "kind-9", 10), "the first ones are kept");
+    assert!(10 < times.expected_run_ms("t", "kind-9", 10), "the first kinds are kept");
     assert_eq!(times.expected_run_ms("t", "kind-11999", 10), 10);
 }
 
 #[test]
 fn harm_is_credited_to_what_ran_then() {
-    let (mut past, mut interference_model) =
+    let (mut history, mut interference_model) =
         (WorkloadHistory::default(), InterferenceModel::default());
     let noisy = vec![(CompactString::from("noisy"), 0.5)];
     let calm = vec![(CompactString::from("calm"), 0.5)];
-    // The reports lag by 2 s; by then the neighbour has changed.
+    // Reports are 2 s old; the neighbouring task has changed since.
     for round in 0..40_u64 {
-        let begun_ms = round * 4_000;
-        past.record(VmId(1), begun_ms, noisy.clone());
-        past.record(VmId(1), begun_ms + 2_000, calm.clone());
-        interference_model.observe("quick", 30.0, past.kinds_at(VmId(1), begun_ms + 1_000));
-        interference_model.observe("quick", 10.0, past.kinds_at(VmId(1), begun_ms + 3_000));
+        let round_start_ms = round * 4_000;
+        history.record(VmId(1), round_start_ms, noisy.clone());
+        history.record(VmId(1), round_start_ms + 2_000, calm.clone());
+        interference_model.observe(
+            "quick",
+            30.0,
+            history.kinds_at(VmId(1), round_start_ms + 1_000),
+        );
+        interference_model.observe(
+            "quick",
+            10.0,
+            history.kinds_at(VmId(1), round_start_ms + 3_000),
+        );
     }
     assert!(
         interference_model.added_slowdown("quick", "noisy") > 1.5,
@@ -277,8 +293,8 @@
     );
 }
 
-/// Noisy tasks come for twenty reports and go for twenty: they are throttled once they are seen,
-/// let go when they fit, and the VM opens again after each wave.
+/// Noisy tasks run for twenty reports and pause for twenty. They are throttled once they are
+/// detected, released when they fit, and the VM accepts batch work again after each wave.
 #[test]
 fn noisy_tasks_arrive_in_waves() {
     let mut feedback = FeedbackLoop::default();
@@ -298,9 +314,13 @@
         let action = feedback.observe(second * 1_000, report, Some(TaskId(1)));
         throttles += u32::from(matches!(action, FeedbackAction::Throttle { .. }));
         opened += u32::from(was_closed && !feedback.is_closed_to_batch());
-        assert!(!matches!(action, FeedbackAction::Move { .. }), "a throttle is enough here");
+        assert!(!matches!(action, FeedbackAction::Move { .. }), "throttling is sufficient here");
     }
-    assert_eq!((throttles, opened), (5, 5), "one step each way for each of five waves");
+    assert_eq!(
+        (throttles, opened),
+        (5, 5),
+        "one throttle and one reopening per wave, for five waves"
+    );
 }
 
 #[test]
@@ -308,7 +328,8 @@
     let mut feedback = FeedbackLoop::default();
     let task = TaskId(1);
     let mut actions = Vec::new();
-    // Reports every second tell of 5 s ago: the tail stays high for 5 s after the throttle.
+    // Reports arrive every second and are 5 s old: the tail latency stays high for 5 s after the
+    // throttle.
     for second in 0..60_u64 {
         let tail_ms = if second < 7 { 100 } else { 45 };
         let action = {
@@ -327,13 +348,13 @@
     assert_eq!(
         actions.len(),
         1,
-        "one step, and the gap between low and target holds it: {actions:?}"
+        "one throttle, kept while the tail is between the low mark and the target: {actions:?}"
     );
     assert!(matches!(actions[0].1, FeedbackAction::Throttle { .. }));
     assert!(feedback.is_closed_to_batch());
 }
 
-fn try_take(
+fn try_evict(
     budget: &mut EvictionBudget,
     per_hour: u32,
     now_ms: u64,
@@ -346,7 +367,7 @@
     allowed
 }
 
-/// Asking for more than is left spends nothing; before, each vain try of several did.
+/// A refused request for several evictions must not spend part of the budget.
 #[test]
 fn refused_evictions_cost_nothing() {
     let mut budget = EvictionBudget::new(40, 0);
@@ -359,19 +380,19 @@
 #[test]
 fn eviction_budget_is_kept_over_an_hour() {
     let mut budget = EvictionBudget::new(12, 0);
-    let taken = (0..3_600)
-        .filter(|second| try_take(&mut budget, 12, second * 1_000, EvictionPurpose::UrgentStart))
+    let granted = (0..3_600)
+        .filter(|second| try_evict(&mut budget, 12, second * 1_000, EvictionPurpose::UrgentStart))
         .count();
-    assert!((12..=15).contains(&taken), "{taken}");
+    assert!((12..=15).contains(&granted), "{granted}");
 }
 
 #[test]
 fn relief_leaves_evictions_to_urgent_starts() {
     let mut budget = EvictionBudget::new(80, 0);
     let relief =
-        (0..100).filter(|_| try_take(&mut budget, 80, 0, EvictionPurpose::LatencyRelief)).count();
+        (0..100).filter(|_| try_evict(&mut budget, 80, 0, EvictionPurpose::LatencyRelief)).count();
     let urgent =
-        (0..100).filter(|_| try_take(&mut budget, 80, 0, EvictionPurpose::UrgentStart)).count();
+        (0..100).filter(|_| try_evict(&mut budget, 80, 0, EvictionPurpose::UrgentStart)).count();
     assert_eq!((relief, urgent), (10, 10));
 }
 
@@ -388,22 +409,22 @@
 
 #[test]
 fn ejections_never_empty_the_set_and_are_probed() {
-    let mut it = Ejection::default();
+    let mut ejection = Ejection::default();
     for _ in 0..20 {
-        it.note_failure(0, 500);
+        ejection.note_failure(0, 500);
     }
-    assert!(it.admits(0), "half of the others are out already");
-    it.note_failure(0, 0);
-    assert!(!it.admits(0));
-    assert!(it.admits(1_000));
-    it.note_sent();
-    assert!(!it.admits(1_000), "one probe at a time");
-    it.note_failure(1_000, 0);
-    assert!(!it.admits(2_500), "a failed probe doubles the time");
-    assert!(it.admits(3_000));
-    it.note_sent();
-    it.note_success();
-    assert!(it.admits(3_000));
+    assert!(ejection.admits(0), "half of the other endpoints are ejected already");
+    ejection.note_failure(0, 0);
+    assert!(!ejection.admits(0));
+    assert!(ejection.admits(1_000));
+    ejection.note_sent();
+    assert!(!ejection.admits(1_000), "one probe at a time");
+    ejection.note_failure(1_000, 0);
+    assert!(!ejection.admits(2_500), "a failed probe doubles the ejection time");
+    assert!(ejection.admits(3_000));
+    ejection.note_sent();
+    ejection.note_success();
+    assert!(ejection.admits(3_000));
 }
 
 #[yare::parameterized(
@@ -436,8 +457,9 @@
 fn rule_ranks_a_long_old_task_and_a_short_new_one(rule: RankingRule, first: u64) {
     let old = RankingInput { size_ms: 100_000, attained_ms: 0, accepted_ms: 1 };
     let new = RankingInput { size_ms: 1_000, attained_ms: 500, accepted_ms: 2 };
-    let found = if task_queue::rank(rule, old) < task_queue::rank(rule, new) { 1 } else { 2 };
-    assert_eq!(found, first);
+    let ranked_first =
+        if task_queue::rank(rule, old) < task_queue::rank(rule, new) { 1 } else { 2 };
+    assert_eq!(ranked_first, first);
 }
 
 #[test]
@@ -445,18 +467,18 @@
     let mut queue = TaskQueue::default();
     queue.set_quota("owner", Some(resources(1_000, 1_000)));
     queue.set_quota("borrower", Some(resources(1_000, 1_000)));
-    for at in 0..4 {
+    for task_id in 0..4 {
         let waiting = task_queue::WaitingTask {
-            task: TaskId(at),
+            task: TaskId(task_id),
             tier: Tier::Batch,
-            rank: at,
+            rank: task_id,
             need: resources(500, 1),
             due_ms: None,
         };
         queue.insert("borrower", waiting);
     }
-    let borrowed: Vec<_> = queue.candidates(9).iter().map(|it| it.exceeds_quota).collect();
-    assert_eq!(borrowed, [false, false, true, true]);
+    let exceeds_quota: Vec<_> = queue.candidates(9).iter().map(|it| it.exceeds_quota).collect();
+    assert_eq!(exceeds_quota, [false, false, true, true]);
     (0..4).for_each(|_| queue.record_run_change("borrower", resources(500, 1), RunChange::Started));
     let waiting = task_queue::WaitingTask {
         task: TaskId(9),
@@ -466,5 +488,5 @@
         due_ms: None,
     };
     queue.insert("owner", waiting);
-    assert_eq!(queue.candidates(1)[0].task, TaskId(9), "who is below its quota goes first");
+    assert_eq!(queue.candidates(1)[0].task, TaskId(9), "a team below its quota goes first");
 }
--- a/tests/workflows/fillers.rs
+++ b/tests/workflows/fillers.rs
@@ -1,4 +1,4 @@
-//! The leader's placing and moving of fillers, by its reports alone.
+//! Tests of how the leader places and moves best-effort tasks (fillers), driven by worker reports.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -12,17 +12,17 @@
 
 const MEMORY_MIB: u32 = 10_000;
 
-/// A leader with workers of 64 cores or another number, each of which reports what it is made to.
+/// A leader whose workers, of 64 cores by default, send the reports that a test gives them.
 pub struct Leader {
     cores: u32,
     pub workflows: Workflows,
     dispatcher: Dispatcher,
     pub now_ms: u64,
-    /// The run of each node that sends its reports.
+    /// Boot number of every node that sends reports.
     pub boot: u64,
     pub number: u64,
     pub stops: Vec<RunRef>,
-    /// Newest grant for each node.
+    /// Latest grant for each node.
     pub grants: BTreeMap<SocketAddr, NodeGrant>,
 }
 
@@ -48,7 +48,7 @@
         Leader::of_cores(workers, 64)
     }
 
-    /// Makes a leader of workers with so many cores each.
+    /// Creates a leader of workers with `cores` cores each.
     pub fn of_cores(workers: u64, cores: u32) -> Leader {
         let mut workflows = Workflows::default();
         workflows.apply(&WorkflowCommand::Install(queues(1)), 1);
@@ -64,7 +64,7 @@
             stops: Vec::new(),
             grants: BTreeMap::new(),
         };
-        (1..=workers).for_each(|it| res.join(it));
+        (1..=workers).for_each(|it| res.register(it));
         res
     }
 
@@ -79,10 +79,10 @@
             spec: spec(steps),
             accepted_ms: self.now_ms,
         };
-        // Two plans are not made in the same moment.
+        // The leader does not make two plans at the same time.
         self.now_ms += 20;
         self.apply(WorkflowCommand::Submit(submit));
-        self.settle();
+        self.apply_commands();
     }
 
     fn apply(&mut self, command: WorkflowCommand) {
@@ -90,13 +90,13 @@
         self.dispatcher.note_applied(&self.workflows, &command, &[], self.now());
     }
 
-    /// Lets a worker enrol, and report for the first time.
-    fn join(&mut self, worker: u64) {
+    /// Registers a worker with its first report, and sends a second one.
+    fn register(&mut self, worker: u64) {
         self.report(worker, &[]);
         self.report(worker, &[]);
     }
 
-    /// Reports what a worker runs, with the load of each.
+    /// Reports the runs that the leader placed on a worker, with a load for each workflow.
     pub fn report(&mut self, worker: u64, loads: &[(u64, u32)]) {
         let running = self.runs_on(worker).into_iter().map(|run| {
             let load = loads.iter().find(|(id, _)| WorkflowId(*id) == run.task.workflow);
@@ -107,31 +107,31 @@
         self.tell(worker, running, Vec::new());
     }
 
-    /// Reports what a worker runs and what has ended there.
+    /// Reports the running and the ended runs of a worker.
     pub fn tell(&mut self, worker: u64, running: Vec<RunningTask>, ended: Vec<EndedRun>) {
         self.number += 1;
         let name = format_compact!("worker-{worker}");
-        self.tell_of(worker, name, self.number, running, ended);
+        self.report_incarnation(worker, name, self.number, running, ended);
     }
 
-    /// Reports that a worker runs nothing, and will never begin a run.
-    pub fn refuse(&mut self, worker: u64, run: RunRef) {
+    /// Reports that a worker runs nothing and will never start the given run.
+    pub fn report_refusal(&mut self, worker: u64, run: RunRef) {
         self.number += 1;
         let name = format_compact!("worker-{worker}");
-        let mut report = self.report_of(name, Vec::new(), Vec::new());
+        let mut report = self.worker_report(name, Vec::new(), Vec::new());
         report.refused.push(RefusedRun { run, cause: RefusalCause::Superseded });
-        self.take(worker, self.number, report);
+        self.deliver(worker, self.number, report);
     }
 
-    /// Lets time pass in which nobody reports.
-    pub fn idle(&mut self, time_ms: u64) {
+    /// Advances the clock without reports.
+    pub fn advance(&mut self, time_ms: u64) {
         self.now_ms += time_ms;
         self.dispatcher.tick(&self.workflows, self.now());
-        self.settle();
+        self.apply_commands();
     }
 
-    /// Takes in a report of a lifetime beside a worker's node, with a number.
-    pub fn tell_of(
+    /// Sends a numbered report of a worker incarnation from a worker's node.
+    pub fn report_incarnation(
         &mut self,
         worker: u64,
         name: CompactString,
@@ -139,11 +139,11 @@
         running: Vec<RunningTask>,
         ended: Vec<EndedRun>,
     ) {
-        let report = self.report_of(name, running, ended);
-        self.take(worker, number, report);
+        let report = self.worker_report(name, running, ended);
+        self.deliver(worker, number, report);
     }
 
-    fn report_of(
+    fn worker_report(
         &self,
         name: CompactString,
         running: Vec<RunningTask>,
@@ -173,7 +173,7 @@
         }
     }
 
-    fn take(&mut self, worker: u64, number: u64, report: WorkerReport) {
+    fn deliver(&mut self, worker: u64, number: u64, report: WorkerReport) {
         let report = NodeReport {
             node: node(worker),
             boot: self.boot,
@@ -182,22 +182,22 @@
             workers: vec![report],
         };
         self.dispatcher.on_report(&self.workflows, report, &[], self.now());
-        self.settle();
+        self.apply_commands();
     }
 
-    /// Lets what the leader wants happen at once.
-    fn settle(&mut self) {
+    /// Applies the leader's commands until it has no more, and records its grants and stops.
+    fn apply_commands(&mut self) {
         loop {
             let step = self.dispatcher.finish_turn(&self.workflows, &[], self.now());
             for (to, message) in step.messages {
-                let Message::NodeGrant(it) = message else { continue };
-                self.grants.insert(to, it.clone());
-                self.stops.extend(it.orders.iter().filter_map(|it| match it {
+                let Message::NodeGrant(grant) = message else { continue };
+                self.grants.insert(to, grant.clone());
+                self.stops.extend(grant.orders.iter().filter_map(|it| match it {
                     RunOrder::Stop(run) => Some(*run),
                     _ => None,
                 }));
             }
-            // The rooms that plans are made from are those that a walk over everything gives.
+            // The free capacities used for plans equal those that a full scan computes.
             self.dispatcher.audit(&self.workflows).unwrap();
             if step.commands.is_empty() {
                 return;
@@ -213,14 +213,14 @@
         worker.map(|it| it.runs.iter().copied().collect()).unwrap_or_default()
     }
 
-    fn workers_of(&self, id: u64, workers: u64) -> Vec<u64> {
+    fn workers_running(&self, id: u64, workers: u64) -> Vec<u64> {
         let runs = |it: &u64| self.runs_on(*it).iter().any(|it| it.task.workflow == WorkflowId(id));
         (1..=workers).filter(runs).collect()
     }
 
-    /// Reports of some workers, each with its loads, for some time.
-    fn pass(&mut self, for_ms: u64, reports: &[(u64, &[(u64, u32)])]) {
-        for _ in 0..for_ms / 250 {
+    /// Sends the given reports every 250 ms for a period.
+    fn report_for(&mut self, duration_ms: u64, reports: &[(u64, &[(u64, u32)])]) {
+        for _ in 0..duration_ms / 250 {
             self.now_ms += 250;
             reports.iter().for_each(|(worker, loads)| self.report(*worker, loads));
         }
@@ -233,7 +233,10 @@
     leader.report(1, &[]);
     let grant = &leader.grants[&node(1)];
     assert_eq!(grant.worker, "worker-1");
-    assert!(0 < grant.token && grant.sent_ms == 0, "a token, and no lease yet: {grant:?}");
+    assert!(
+        0 < grant.token && grant.sent_ms == 0,
+        "the grant must hold a token and no lease: {grant:?}"
+    );
 }
 
 #[test]
@@ -241,26 +244,29 @@
     let mut leader = Leader::new(2);
     leader.submit(1, vec![service("web", 2, 40)]);
     leader.submit(2, vec![filler("heavy", 1, 8, 1_000)]);
-    let beside = leader.workers_of(2, 2)[0];
-    let other = 3 - beside;
-    // With eight cores of the filler beside it, the service has a third of what its sibling has.
-    leader.pass(6_000, &[(other, &[(1, 17)]), (beside, &[(1, 40), (2, 8_000)])]);
+    let filler_worker = leader.workers_running(2, 2)[0];
+    let sibling_worker = 3 - filler_worker;
+    // With eight cores of the filler on its worker, the service has a third of its sibling's headroom.
+    leader.report_for(
+        6_000,
+        &[(sibling_worker, &[(1, 17)]), (filler_worker, &[(1, 40), (2, 8_000)])],
+    );
     leader.dispatcher.tick(&leader.workflows, leader.now());
-    leader.settle();
-    let known = leader.workflows.image_costs().to_vec();
-    let cost = known.iter().find(|it| it.serving == "web" && it.filler == "heavy").unwrap();
-    assert!((14.0..28.0).contains(&cost.headroom_percent), "{cost:?}; the truth is 21");
-    let mut next = ContentionModel::with_known_costs(leader.workflows.image_costs(), 7_000);
-    let (web, heavy) = (next.image("web"), next.image("heavy"));
-    assert_eq!(next.cost_percent(web, heavy), f64::from(cost.headroom_percent));
+    leader.apply_commands();
+    let known_costs = leader.workflows.image_costs().to_vec();
+    let cost = known_costs.iter().find(|it| it.serving == "web" && it.filler == "heavy").unwrap();
+    assert!((14.0..28.0).contains(&cost.headroom_percent), "{cost:?}; the true value is 21");
+    let mut next_model = ContentionModel::with_known_costs(leader.workflows.image_costs(), 7_000);
+    let (web, heavy) = (next_model.image("web"), next_model.image("heavy"));
+    assert_eq!(next_model.cost_percent(web, heavy), f64::from(cost.headroom_percent));
 }
 
 #[test]
 fn a_busy_leader_is_woken_to_hand_on_what_it_learned() {
     let mut leader = Leader::new(1);
-    // Reports push the next plan ahead each time.
-    leader.pass(4_000, &[(1, &[])]);
-    assert!(leader.dispatcher.next_tick_ms() <= leader.now_ms, "it is due after 3 s");
+    // Each report postpones the next plan.
+    leader.report_for(4_000, &[(1, &[])]);
+    assert!(leader.dispatcher.next_tick_ms() <= leader.now_ms, "image costs are due after 3 s");
 }
 
 #[test]
@@ -269,9 +275,9 @@
     for (id, image) in [(1, "web"), (2, "mail"), (3, "web"), (4, "mail")] {
         leader.submit(id, vec![service(image, 2, 12)]);
     }
-    assert_eq!(leader.workers_of(1, 4), leader.workers_of(3, 4));
-    assert_eq!(leader.workers_of(2, 4), leader.workers_of(4, 4));
-    assert_ne!(leader.workers_of(1, 4), leader.workers_of(2, 4));
+    assert_eq!(leader.workers_running(1, 4), leader.workers_running(3, 4));
+    assert_eq!(leader.workers_running(2, 4), leader.workers_running(4, 4));
+    assert_ne!(leader.workers_running(1, 4), leader.workers_running(2, 4));
 }
 
 #[test]
@@ -279,12 +285,12 @@
     let mut leader = Leader::new(1);
     leader.submit(1, vec![service("web", 1, 12)]);
     leader.submit(2, vec![filler("batch", 1, 8, 1_000)]);
-    assert_eq!(leader.workers_of(2, 1), [1]);
-    // The service is near its bound, and the node has halted the filler.
-    leader.pass(2_000, &[(1, &[(1, 42), (2, 0)])]);
-    assert!(leader.stops.is_empty(), "there is nowhere to go: {:?}", leader.stops);
-    leader.join(2);
-    leader.pass(500, &[(1, &[(1, 42), (2, 0)]), (2, &[])]);
+    assert_eq!(leader.workers_running(2, 1), [1]);
+    // The service is near its latency target, and the node has suspended the filler.
+    leader.report_for(2_000, &[(1, &[(1, 42), (2, 0)])]);
+    assert!(leader.stops.is_empty(), "no other worker has capacity: {:?}", leader.stops);
+    leader.register(2);
+    leader.report_for(500, &[(1, &[(1, 42), (2, 0)]), (2, &[])]);
     assert!(leader.stops.iter().any(|it| it.task.workflow == WorkflowId(2)));
 }
 
@@ -293,7 +299,7 @@
     let mut leader = Leader::new(2);
     leader.submit(1, vec![service("web", 1, 12)]);
     leader.submit(2, vec![filler("batch", 1, 8, 1_000)]);
-    leader.pass(3_000, &[(1, &[(1, 20), (2, 8_000)]), (2, &[(1, 20), (2, 8_000)])]);
+    leader.report_for(3_000, &[(1, &[(1, 20), (2, 8_000)]), (2, &[(1, 20), (2, 8_000)])]);
     assert!(leader.stops.is_empty(), "{:?}", leader.stops);
 }
 
@@ -301,24 +307,28 @@
 fn a_filler_begins_only_where_a_service_leaves_it_its_full_speed() {
     let mut leader = Leader::new(1);
     leader.submit(1, vec![service("web", 1, 40)]);
-    // A tail of 30 of 50 ms: 166 % of headroom, of which a filler not known may take 32.
-    leader.pass(2_000, &[(1, &[(1, 30)])]);
+    // A tail latency of 30 ms with a target of 50 ms: 166 % headroom, of which an unknown filler may
+    // use 32.
+    leader.report_for(2_000, &[(1, &[(1, 30)])]);
     leader.submit(2, vec![filler("batch", 1, 8, 1_000)]);
-    leader.pass(2_000, &[(1, &[(1, 30)])]);
-    assert!(leader.workers_of(2, 1).is_empty(), "it would be halted as the load rises");
-    leader.pass(2_000, &[(1, &[(1, 15)])]);
-    assert_eq!(leader.workers_of(2, 1), [1]);
+    leader.report_for(2_000, &[(1, &[(1, 30)])]);
+    assert!(
+        leader.workers_running(2, 1).is_empty(),
+        "the filler would be suspended when the load rises"
+    );
+    leader.report_for(2_000, &[(1, &[(1, 15)])]);
+    assert_eq!(leader.workers_running(2, 1), [1]);
 }
 
-/// A worker crashed and is back under another name; a report from before, held up by a cut, comes
-/// after that. It must not take the place of the worker that is there, and what runs on it.
+/// A worker crashed and restarted under another name. A report from before the crash, delayed by a
+/// network partition, arrives afterwards. It must not replace the current worker and its runs.
 #[test]
 fn a_late_report_of_an_earlier_lifetime_takes_nobodys_place() {
     let mut leader = Leader::new(1);
-    let late = leader.number;
-    leader.tell_of(1, "worker-1-later".into(), late + 2, Vec::new(), Vec::new());
-    leader.tell_of(1, "worker-1-later".into(), late + 3, Vec::new(), Vec::new());
-    leader.tell_of(1, "worker-1".into(), late + 1, Vec::new(), Vec::new());
+    let last_number = leader.number;
+    leader.report_incarnation(1, "worker-1-later".into(), last_number + 2, Vec::new(), Vec::new());
+    leader.report_incarnation(1, "worker-1-later".into(), last_number + 3, Vec::new(), Vec::new());
+    leader.report_incarnation(1, "worker-1".into(), last_number + 1, Vec::new(), Vec::new());
     let names: Vec<_> = leader.workflows.workers().iter().map(|(_, it)| &it.name).collect();
     assert_eq!(names, ["worker-1-later"]);
 }
--- a/tests/workflows/node.rs
+++ b/tests/workflows/node.rs
@@ -1,4 +1,4 @@
-//! A node alone: what it does with orders, answers and grants that come in odd orders.
+//! Tests of a single node core that receives orders, answers and grants in unusual sequences.
 
 use aspenrail::{
     node::{
@@ -10,26 +10,26 @@
 
 use crate::{worker::CAPACITY, world::address};
 
-pub struct Alone {
+pub struct NodeHarness {
     node: NodeCore,
     pub now_ms: u64,
     pub calls: Vec<(u64, Action)>,
     pub reports: Vec<NodeReport>,
-    /// Whom each report was sent to.
-    asked: Vec<std::net::SocketAddr>,
-    passed_over: Vec<AnnouncementRejection>,
+    /// Destination of each report.
+    report_targets: Vec<std::net::SocketAddr>,
+    rejections: Vec<AnnouncementRejection>,
 }
 
 pub const RUN: RunRef =
     RunRef { run: 1, task: TaskRef { index: 0, occurrence: 0, step: 0, workflow: WorkflowId(7) } };
 
-impl Alone {
-    pub fn new() -> Alone {
-        Alone::beside(false)
+impl NodeHarness {
+    pub fn new() -> NodeHarness {
+        NodeHarness::with_worker(false)
     }
 
-    /// Makes a node that has heard of no worker.
-    pub fn without_worker() -> Alone {
+    /// Creates a node that has received no announcement.
+    pub fn without_worker() -> NodeHarness {
         let options = NodeOptions {
             address: address(200),
             controls: vec![address(0), address(1)],
@@ -42,14 +42,14 @@
             harm_max_ms: 4_000,
         };
         let node = NodeCore::new(options);
-        let (calls, reports, asked) = (Vec::new(), Vec::new(), Vec::new());
-        let passed_over = Vec::new();
-        Alone { node, now_ms: 1_000, calls, reports, asked, passed_over }
+        let (calls, reports, report_targets) = (Vec::new(), Vec::new(), Vec::new());
+        let rejections = Vec::new();
+        NodeHarness { node, now_ms: 1_000, calls, reports, report_targets, rejections }
     }
 
-    /// Makes a node that has just started beside a worker.
-    fn beside(draining: bool) -> Alone {
-        let mut res = Alone::without_worker();
+    /// Creates a node that has just started and knows one worker.
+    fn with_worker(draining: bool) -> NodeHarness {
+        let mut res = NodeHarness::without_worker();
         res.input(Input::WorkerAnnounced(Announcement {
             id: "worker".into(),
             service: "pool".into(),
@@ -63,13 +63,13 @@
             sequence: 1,
             started_unix_ms: None,
         }));
-        res.answer_newcomer();
+        res.answer_unconfirmed();
         res
     }
 
-    /// Lets a lifetime that has announced itself answer the look that it is given: nothing runs.
-    fn answer_newcomer(&mut self) {
-        self.list_newest();
+    /// Answers the poll of an unconfirmed worker with an empty run list.
+    fn answer_unconfirmed(&mut self) {
+        self.answer_newest_poll_empty();
     }
 
     pub fn input(&mut self, input: Input) {
@@ -79,10 +79,10 @@
             match effect {
                 Effect::Call { id, call } => self.calls.push((id, call.action)),
                 Effect::Send { to, message: Message::NodeReport(it) } => {
-                    self.asked.push(to);
+                    self.report_targets.push(to);
                     self.reports.push(it);
                 }
-                Effect::AnnouncementIgnored(it) => self.passed_over.push(it),
+                Effect::AnnouncementIgnored(it) => self.rejections.push(it),
                 Effect::Send { .. } => (),
             }
         }
@@ -92,8 +92,8 @@
         self.grant_with(is_complete, orders, 0);
     }
 
-    /// Answers a report of no worker, with a token.
-    pub fn grant_nothing(&mut self, token: u64) {
+    /// Answers a report that lists no worker with a grant that holds only a token.
+    pub fn grant_without_worker(&mut self, token: u64) {
         let number = self.reports.last().map_or(0, |it| it.number);
         self.input(Input::Message(Box::new(Message::NodeGrant(NodeGrant {
             capacity: Resources { cpu_millicores: 0, memory_mib: 0, accelerators: 0 },
@@ -113,7 +113,7 @@
         }))));
     }
 
-    /// Takes note of ends up to a cursor.
+    /// Sends a grant that acknowledges ended runs up to a cursor.
     pub fn grant_acked(&mut self, acked_cursor: u64) {
         self.grant_with(true, Vec::new(), acked_cursor);
     }
@@ -139,23 +139,23 @@
         }))));
     }
 
-    /// Returns the name of the lifetime that was reported last.
+    /// Returns the name of the worker incarnation in the last report.
     pub fn worker(&self) -> Option<CompactString> {
         Some(self.reports.last()?.workers.first()?.name.clone())
     }
 
-    pub fn take_call(&mut self, wanted: fn(&Action) -> bool) -> u64 {
-        let at = self.calls.iter().position(|(_, it)| wanted(it)).expect("the call was made");
-        self.calls.remove(at).0
+    pub fn take_call(&mut self, is_wanted: fn(&Action) -> bool) -> u64 {
+        let index = self.calls.iter().position(|(_, it)| is_wanted(it)).expect("the call was made");
+        self.calls.remove(index).0
     }
 
-    pub fn end(&mut self, id: u64, result: CallResult) {
+    pub fn end_call(&mut self, id: u64, result: CallResult) {
         self.input(Input::CallEnded { id, result });
     }
 
-    pub fn list(&mut self, running: Vec<RunningTask>) {
-        let id = self.take_call(is_hold);
-        self.end(
+    pub fn answer_poll(&mut self, running: Vec<RunningTask>) {
+        let id = self.take_call(is_poll);
+        self.end_call(
             id,
             CallResult::RunList {
                 clock_ms: 50_100,
@@ -166,11 +166,11 @@
         );
     }
 
-    /// Answers the newest call for a list: nothing runs, and nothing has ended.
-    pub fn list_newest(&mut self) {
-        let newest = self.calls.iter().rposition(|(_, it)| is_hold(it)).unwrap();
+    /// Answers the newest poll with a list without running or ended runs.
+    pub fn answer_newest_poll_empty(&mut self) {
+        let newest = self.calls.iter().rposition(|(_, it)| is_poll(it)).unwrap();
         let (id, _) = self.calls.remove(newest);
-        self.end(
+        self.end_call(
             id,
             CallResult::RunList {
                 clock_ms: 50_300,
@@ -181,7 +181,7 @@
         );
     }
 
-    pub fn pass(&mut self, time_ms: u64) {
+    pub fn advance(&mut self, time_ms: u64) {
         self.now_ms += time_ms;
         self.input(Input::Tick);
     }
@@ -192,7 +192,7 @@
     }
 }
 
-pub fn is_hold(it: &Action) -> bool {
+pub fn is_poll(it: &Action) -> bool {
     matches!(it, Action::Poll { .. })
 }
 
@@ -219,77 +219,77 @@
 
 #[test]
 fn a_start_that_the_leader_no_longer_lists_is_barred_and_reported_only_then() {
-    let mut alone = Alone::new();
-    alone.grant(false, Vec::new());
-    alone.list(Vec::new());
-    alone.grant(true, vec![start()]);
-    let first = alone.take_call(is_start);
-    alone.end(first, CallResult::NoAnswer);
-    alone.grant(true, Vec::new());
-    assert_eq!(alone.refused(), []);
-    let stop = alone.take_call(is_stop);
-    alone.end(stop, CallResult::Done { clock_ms: 50_200 });
-    assert_eq!(alone.refused(), [], "the list that proves it was not read yet");
-    alone.list_newest();
-    assert_eq!(alone.refused(), [RefusalCause::Superseded]);
+    let mut harness = NodeHarness::new();
+    harness.grant(false, Vec::new());
+    harness.answer_poll(Vec::new());
+    harness.grant(true, vec![start()]);
+    let start_call = harness.take_call(is_start);
+    harness.end_call(start_call, CallResult::NoAnswer);
+    harness.grant(true, Vec::new());
+    assert_eq!(harness.refused(), []);
+    let stop = harness.take_call(is_stop);
+    harness.end_call(stop, CallResult::Done { clock_ms: 50_200 });
+    assert_eq!(harness.refused(), [], "the run list that proves the refusal has not arrived yet");
+    harness.answer_newest_poll_empty();
+    assert_eq!(harness.refused(), [RefusalCause::Superseded]);
 }
 
 #[test]
 fn a_start_under_way_that_the_list_shows_is_not_withdrawn() {
-    let mut alone = Alone::new();
-    alone.grant(false, Vec::new());
-    alone.list(Vec::new());
-    alone.grant(true, vec![start()]);
-    let under_way = alone.take_call(is_start);
-    // The worker's list shows the run before the answer to the start is here, so the leader
-    // orders it no more.
-    alone.pass(10);
-    alone.list(vec![running()]);
-    alone.grant(true, Vec::new());
-    assert!(!alone.calls.iter().any(|(_, it)| is_stop(it)), "{:?}", alone.calls);
-    alone.end(under_way, CallResult::Done { clock_ms: 50_300 });
-    assert_eq!(alone.refused(), []);
+    let mut harness = NodeHarness::new();
+    harness.grant(false, Vec::new());
+    harness.answer_poll(Vec::new());
+    harness.grant(true, vec![start()]);
+    let pending_start = harness.take_call(is_start);
+    // The worker's list shows the run before the answer to the start arrives, so the leader no
+    // longer orders the start.
+    harness.advance(10);
+    harness.answer_poll(vec![running()]);
+    harness.grant(true, Vec::new());
+    assert!(!harness.calls.iter().any(|(_, it)| is_stop(it)), "{:?}", harness.calls);
+    harness.end_call(pending_start, CallResult::Done { clock_ms: 50_300 });
+    assert_eq!(harness.refused(), []);
 }
 
 #[test]
 fn a_refused_start_is_stopped_before_the_leader_hears_of_it() {
-    let mut alone = Alone::new();
-    alone.grant(false, Vec::new());
-    alone.list(Vec::new());
-    alone.grant(true, vec![start()]);
-    let id = alone.take_call(is_start);
-    alone.end(id, CallResult::Refused { clock_ms: 50_200, cause: CallRefusal::Room });
-    assert_eq!(alone.refused(), [], "an earlier call might still begin it");
-    assert!(alone.calls.iter().any(|(_, it)| is_stop(it)));
+    let mut harness = NodeHarness::new();
+    harness.grant(false, Vec::new());
+    harness.answer_poll(Vec::new());
+    harness.grant(true, vec![start()]);
+    let id = harness.take_call(is_start);
+    harness.end_call(id, CallResult::Refused { clock_ms: 50_200, cause: CallRefusal::Room });
+    assert_eq!(harness.refused(), [], "an earlier call might still start the run");
+    assert!(harness.calls.iter().any(|(_, it)| is_stop(it)));
 }
 
 #[test]
 fn a_start_for_a_leaving_worker_is_barred_before_the_leader_hears_of_it() {
-    // The node has just started: a call of the process before it may still be on its way.
-    let mut alone = Alone::beside(true);
-    alone.grant(false, Vec::new());
-    alone.list(Vec::new());
-    alone.grant(true, vec![start()]);
-    assert_eq!(alone.refused(), [], "an earlier call might still begin it");
-    let stop = alone.take_call(is_stop);
-    alone.end(stop, CallResult::Done { clock_ms: 50_200 });
-    alone.list_newest();
-    assert_eq!(alone.refused(), [RefusalCause::Leaving]);
-    assert!(!alone.calls.iter().any(|(_, it)| is_start(it)), "{:?}", alone.calls);
+    // The node has just started: a call of the previous process may still be in transit.
+    let mut harness = NodeHarness::with_worker(true);
+    harness.grant(false, Vec::new());
+    harness.answer_poll(Vec::new());
+    harness.grant(true, vec![start()]);
+    assert_eq!(harness.refused(), [], "an earlier call might still start the run");
+    let stop = harness.take_call(is_stop);
+    harness.end_call(stop, CallResult::Done { clock_ms: 50_200 });
+    harness.answer_newest_poll_empty();
+    assert_eq!(harness.refused(), [RefusalCause::Leaving]);
+    assert!(!harness.calls.iter().any(|(_, it)| is_start(it)), "{:?}", harness.calls);
 }
 
 #[test]
 fn a_run_that_began_after_a_list_was_asked_for_is_kept() {
-    let mut alone = Alone::new();
-    alone.grant(false, Vec::new());
-    alone.list(Vec::new());
-    alone.grant(true, vec![start()]);
-    // The list was asked for before the start, and its answer comes after that of the start.
-    let hold = alone.take_call(is_hold);
-    let begun = alone.take_call(is_start);
-    alone.end(begun, CallResult::Done { clock_ms: 50_200 });
-    alone.end(
-        hold,
+    let mut harness = NodeHarness::new();
+    harness.grant(false, Vec::new());
+    harness.answer_poll(Vec::new());
+    harness.grant(true, vec![start()]);
+    // The list was requested before the start, and its answer arrives after that of the start.
+    let poll = harness.take_call(is_poll);
+    let start_call = harness.take_call(is_start);
+    harness.end_call(start_call, CallResult::Done { clock_ms: 50_200 });
+    harness.end_call(
+        poll,
         CallResult::RunList {
             clock_ms: 50_150,
             started_unix_ms: None,
@@ -297,28 +297,32 @@
             ended: Vec::new(),
         },
     );
-    alone.pass(600);
-    let listed = alone.reports.last().unwrap().workers[0].running.iter().map(|it| it.run);
-    assert_eq!(listed.collect::<Vec<_>>(), [RUN], "the leader would order it anew, or elsewhere");
-    // A later list shows what is true.
-    alone.list(Vec::new());
-    alone.pass(600);
-    assert!(alone.reports.last().unwrap().workers[0].running.is_empty());
+    harness.advance(600);
+    let reported_runs = harness.reports.last().unwrap().workers[0].running.iter().map(|it| it.run);
+    assert_eq!(
+        reported_runs.collect::<Vec<_>>(),
+        [RUN],
+        "the leader would start the run again, here or on another worker"
+    );
+    // A list requested after the start is authoritative.
+    harness.answer_poll(Vec::new());
+    harness.advance(600);
+    assert!(harness.reports.last().unwrap().workers[0].running.is_empty());
 }
 
 #[test]
 fn reports_of_ends_within_a_commit_are_no_sign_of_a_silent_leader() {
-    let mut alone = Alone::new();
-    alone.grant(false, Vec::new());
-    alone.list(Vec::new());
-    alone.grant(true, Vec::new());
-    let leader = alone.asked.last().copied();
+    let mut harness = NodeHarness::new();
+    harness.grant(false, Vec::new());
+    harness.answer_poll(Vec::new());
+    harness.grant(true, Vec::new());
+    let leader = harness.report_targets.last().copied();
     for cursor in 1..=4_u64 {
         let end = RunEnd { run: RUN, outcome: RunOutcome::Failed, checkpoint: "".into() };
         let ended = vec![EndedRun { cursor, end }];
-        alone.pass(100);
-        let id = alone.take_call(is_hold);
-        alone.end(
+        harness.advance(100);
+        let id = harness.take_call(is_poll);
+        harness.end_call(
             id,
             CallResult::RunList {
                 clock_ms: 50_200,
@@ -327,17 +331,17 @@
                 ended,
             },
         );
-        let asked = alone.asked.last().copied();
-        assert_eq!(asked, leader, "report {cursor} went to another process");
+        let target = harness.report_targets.last().copied();
+        assert_eq!(target, leader, "report {cursor} was sent to another control process");
     }
 }
 
 #[test]
 fn nothing_starts_without_a_lease() {
-    let mut alone = Alone::new();
-    alone.grant(false, Vec::new());
-    alone.list(Vec::new());
-    alone.now_ms += 5_000;
+    let mut harness = NodeHarness::new();
+    harness.grant(false, Vec::new());
+    harness.answer_poll(Vec::new());
+    harness.now_ms += 5_000;
     let grant = NodeGrant {
         capacity: crate::worker::CAPACITY,
         number: 1,
@@ -354,32 +358,32 @@
         costs: Vec::new(),
         members: Vec::new(),
     };
-    alone.input(Input::Message(Box::new(Message::NodeGrant(grant))));
-    assert!(!alone.calls.iter().any(|(_, it)| is_start(it)), "{:?}", alone.calls);
+    harness.input(Input::Message(Box::new(Message::NodeGrant(grant))));
+    assert!(!harness.calls.iter().any(|(_, it)| is_start(it)), "{:?}", harness.calls);
 }
 
 #[test]
 fn a_lease_is_never_longer_on_the_workers_clock_than_granted() {
-    let mut alone = Alone::new();
-    alone.grant(false, Vec::new());
-    let hold = alone.calls.iter().find_map(|(_, it)| match it {
+    let mut harness = NodeHarness::new();
+    harness.grant(false, Vec::new());
+    let lease_end_ms = harness.calls.iter().find_map(|(_, it)| match it {
         Action::Poll { lease_until_ms, .. } => Some(*lease_until_ms),
         _ => None,
     });
-    // The worker's clock read 50 000 when the node's read 1 001; the lease ends 4 s after 1 001.
-    assert_eq!(hold, Some(Some(54_000)));
+    // The worker's clock showed 50 000 when the node's showed 1 001; the lease ends 4 s after 1 001.
+    assert_eq!(lease_end_ms, Some(Some(54_000)));
 }
 
 #[test]
 fn orders_of_an_earlier_leader_are_passed_over() {
-    let mut alone = Alone::new();
-    alone.grant(false, Vec::new());
-    alone.list(Vec::new());
-    let mut later = NodeGrant {
+    let mut harness = NodeHarness::new();
+    harness.grant(false, Vec::new());
+    harness.answer_poll(Vec::new());
+    let mut newer_grant = NodeGrant {
         capacity: crate::worker::CAPACITY,
         number: 1,
         sequence: 1,
-        sent_ms: alone.now_ms,
+        sent_ms: harness.now_ms,
         term: 2,
         token: 2 << 24,
         is_complete: false,
@@ -391,11 +395,11 @@
         costs: Vec::new(),
         members: Vec::new(),
     };
-    alone.input(Input::Message(Box::new(Message::NodeGrant(later.clone()))));
-    later.term = 1;
-    later.orders = vec![start()];
-    alone.input(Input::Message(Box::new(Message::NodeGrant(later))));
-    assert!(!alone.calls.iter().any(|(_, it)| is_start(it)), "{:?}", alone.calls);
+    harness.input(Input::Message(Box::new(Message::NodeGrant(newer_grant.clone()))));
+    newer_grant.term = 1;
+    newer_grant.orders = vec![start()];
+    harness.input(Input::Message(Box::new(Message::NodeGrant(newer_grant))));
+    assert!(!harness.calls.iter().any(|(_, it)| is_start(it)), "{:?}", harness.calls);
 }
 
 fn announced(id: &str, service: &str, sequence: u64) -> Input {
@@ -425,7 +429,7 @@
 
 #[test]
 fn a_worker_of_a_pool_that_no_configuration_names_takes_nobodys_place() {
-    let mut alone = Alone::new();
+    let mut harness = NodeHarness::new();
     let grant = |services: Vec<CompactString>| NodeGrant {
         capacity: crate::worker::CAPACITY,
         number: 1,
@@ -442,36 +446,36 @@
         costs: Vec::new(),
         members: Vec::new(),
     };
-    let tell = |it: NodeGrant| Input::Message(Box::new(Message::NodeGrant(it)));
-    alone.input(tell(grant(vec!["pool".into()])));
-    alone.input(announced("other", "elsewhere", 1));
-    assert_eq!(alone.passed_over, [AnnouncementRejection::UnknownService]);
-    alone.pass(600);
-    assert_eq!(alone.reports.last().unwrap().workers[0].name, "worker");
-    // The pool is named later, and a new lifetime of it replaces the one before.
-    alone.input(tell(grant(vec!["pool".into(), "elsewhere".into()])));
-    alone.input(announced("other", "elsewhere", 2));
-    alone.answer_newcomer();
-    alone.pass(600);
-    assert_eq!(alone.reports.last().unwrap().workers[0].name, "other");
+    let grant_input = |it: NodeGrant| Input::Message(Box::new(Message::NodeGrant(it)));
+    harness.input(grant_input(grant(vec!["pool".into()])));
+    harness.input(announced("other", "elsewhere", 1));
+    assert_eq!(harness.rejections, [AnnouncementRejection::UnknownService]);
+    harness.advance(600);
+    assert_eq!(harness.reports.last().unwrap().workers[0].name, "worker");
+    // Once the configuration names the pool, a new worker of it replaces the previous one.
+    harness.input(grant_input(grant(vec!["pool".into(), "elsewhere".into()])));
+    harness.input(announced("other", "elsewhere", 2));
+    harness.answer_unconfirmed();
+    harness.advance(600);
+    assert_eq!(harness.reports.last().unwrap().workers[0].name, "other");
 }
 
 #[test]
 fn a_report_of_an_earlier_lifetime_that_comes_late_changes_nothing() {
-    let mut alone = Alone::new();
-    alone.input(announced("newer", "pool", 1));
-    alone.answer_newcomer();
-    alone.input(announced("worker", "pool", 9));
-    alone.pass(600);
-    assert_eq!(alone.reports.last().unwrap().workers[0].name, "newer");
+    let mut harness = NodeHarness::new();
+    harness.input(announced("newer", "pool", 1));
+    harness.answer_unconfirmed();
+    harness.input(announced("worker", "pool", 9));
+    harness.advance(600);
+    assert_eq!(harness.reports.last().unwrap().workers[0].name, "newer");
 }
 
 #[test]
 fn a_list_with_unreadable_rows_ends_no_run_and_proves_no_refusal() {
-    let mut alone = Alone::new();
-    alone.grant(false, Vec::new());
-    alone.list(vec![running()]);
-    let part = |ended: Vec<EndedRun>| CallResult::PartialRunList {
+    let mut harness = NodeHarness::new();
+    harness.grant(false, Vec::new());
+    harness.answer_poll(vec![running()]);
+    let partial_list = |ended: Vec<EndedRun>| CallResult::PartialRunList {
         clock_ms: 50_100,
         started_unix_ms: None,
         running: Vec::new(),
@@ -479,31 +483,35 @@
         ended_after_unreadable: Vec::new(),
         unreadable_rows: 1,
     };
-    alone.pass(300);
-    let id = alone.take_call(is_hold);
-    alone.end(id, part(Vec::new()));
-    alone.pass(600);
-    let listed = &alone.reports.last().unwrap().workers[0];
-    assert_eq!(listed.running.iter().map(|it| it.run).collect::<Vec<_>>(), [RUN]);
-    // The end before the unreadable row is told all the same.
+    harness.advance(300);
+    let id = harness.take_call(is_poll);
+    harness.end_call(id, partial_list(Vec::new()));
+    harness.advance(600);
+    let worker_report = &harness.reports.last().unwrap().workers[0];
+    assert_eq!(worker_report.running.iter().map(|it| it.run).collect::<Vec<_>>(), [RUN]);
+    // The end that precedes the unreadable row is still reported.
     let end = RunEnd { run: RUN, outcome: RunOutcome::Done, checkpoint: "".into() };
-    let id = alone.take_call(is_hold);
-    alone.end(id, part(vec![EndedRun { cursor: 1, end }]));
-    alone.pass(600);
-    let told = &alone.reports.last().unwrap().workers[0];
-    assert_eq!((told.running.len(), told.ended.len()), (0, 1));
+    let id = harness.take_call(is_poll);
+    harness.end_call(id, partial_list(vec![EndedRun { cursor: 1, end }]));
+    harness.advance(600);
+    let report = &harness.reports.last().unwrap().workers[0];
+    assert_eq!((report.running.len(), report.ended.len()), (0, 1));
 }
 
 #[test]
 fn rows_that_stay_unreadable_are_passed_over_in_the_end() {
-    let mut alone = Alone::new();
-    alone.grant(false, Vec::new());
-    let told = |it: &Alone| it.reports.last().unwrap().workers[0].ended.len();
+    let mut harness = NodeHarness::new();
+    harness.grant(false, Vec::new());
+    let reported_ends = |it: &NodeHarness| it.reports.last().unwrap().workers[0].ended.len();
     for _ in 0..8 {
-        assert_eq!(told(&alone), 0, "to acknowledge it would be to acknowledge what is unreadable");
-        let id = alone.take_call(is_hold);
+        assert_eq!(
+            reported_ends(&harness),
+            0,
+            "acknowledging this end would acknowledge the unreadable rows too"
+        );
+        let id = harness.take_call(is_poll);
         let end = RunEnd { run: RUN, outcome: RunOutcome::Done, checkpoint: "".into() };
-        alone.end(
+        harness.end_call(
             id,
             CallResult::PartialRunList {
                 clock_ms: 50_100,
@@ -514,29 +522,33 @@
                 unreadable_rows: 2,
             },
         );
-        alone.pass(300);
-        alone.grant(false, Vec::new());
+        harness.advance(300);
+        harness.grant(false, Vec::new());
     }
-    assert_eq!(alone.reports.last().unwrap().workers[0].term, 1, "the leader may place work again");
-    assert_eq!(told(&alone), 1, "and the ends behind the row are told");
+    assert_eq!(
+        harness.reports.last().unwrap().workers[0].term,
+        1,
+        "the leader may place work on this worker again"
+    );
+    assert_eq!(reported_ends(&harness), 1, "the ends after the unreadable rows are reported");
 }
 
-/// A worker lists so many ends at a time, and no more: what it shows neither as running nor as ended
-/// may have ended all the same, however often it says so.
+/// A worker limits the number of ends in one list. A run that such a list shows neither as running
+/// nor as ended may still have ended, however often the list is repeated.
 #[test]
 fn a_list_that_is_cut_short_proves_nothing_by_absence() {
-    let mut alone = Alone::new();
-    alone.grant(false, Vec::new());
-    alone.list(vec![running()]);
+    let mut harness = NodeHarness::new();
+    harness.grant(false, Vec::new());
+    harness.answer_poll(vec![running()]);
     let end = RunEnd {
         run: RunRef { run: 2, ..RUN },
         outcome: RunOutcome::Done,
         checkpoint: CompactString::default(),
     };
     for _ in 0..12 {
-        alone.pass(300);
-        let id = alone.take_call(is_hold);
-        let part = CallResult::PartialRunList {
+        harness.advance(300);
+        let id = harness.take_call(is_poll);
+        let partial_list = CallResult::PartialRunList {
             clock_ms: 50_100,
             started_unix_ms: None,
             running: Vec::new(),
@@ -544,12 +556,12 @@
             ended_after_unreadable: Vec::new(),
             unreadable_rows: 0,
         };
-        alone.end(id, part);
+        harness.end_call(id, partial_list);
     }
-    alone.pass(600);
-    let listed = &alone.reports.last().unwrap().workers[0];
-    assert_eq!(listed.running.iter().map(|it| it.run).collect::<Vec<_>>(), [RUN]);
-    assert_eq!(listed.ended.len(), 1);
+    harness.advance(600);
+    let worker_report = &harness.reports.last().unwrap().workers[0];
+    assert_eq!(worker_report.running.iter().map(|it| it.run).collect::<Vec<_>>(), [RUN]);
+    assert_eq!(worker_report.ended.len(), 1);
 }
 
 fn failed(cursor: u64) -> EndedRun {
@@ -557,21 +569,21 @@
     EndedRun { cursor, end: RunEnd { run: RUN, outcome, checkpoint } }
 }
 
-impl Alone {
-    /// Returns how long the look that is under way may wait.
+impl NodeHarness {
+    /// Returns the maximum wait of the poll in progress.
     fn wait_ms(&self) -> u64 {
-        let wait = |it: &(u64, Action)| match it.1 {
+        let poll_wait_ms = |it: &(u64, Action)| match it.1 {
             Action::Poll { wait_ms, .. } => Some(wait_ms),
             _ => None,
         };
-        self.calls.iter().find_map(wait).unwrap()
+        self.calls.iter().find_map(poll_wait_ms).unwrap()
     }
 
-    /// Ends the look that is under way with a failure; returns what the leader is told of it.
+    /// Answers the poll in progress with a failed run; returns the noted ends in the latest report.
     fn list_failure(&mut self) -> NotedEnds {
-        let id = self.take_call(is_hold);
+        let id = self.take_call(is_poll);
         let clock_ms = self.now_ms + 49_000;
-        self.end(
+        self.end_call(
             id,
             CallResult::RunList {
                 clock_ms,
@@ -584,45 +596,45 @@
     }
 }
 
-/// A worker whose lease may be over is looked at without a wait: what it lists then had ended before
-/// it heard of a new lease, and was never taken note of.
+/// The node polls a worker whose lease may have expired without a wait. A run in that list had ended
+/// before the worker received a new lease, and its end was never acknowledged.
 #[test]
 fn a_failure_before_a_lapse_is_told_as_such() {
-    let mut alone = Alone::new();
-    alone.grant(true, Vec::new());
-    alone.list(Vec::new());
-    assert_eq!(alone.wait_ms(), 1_000);
-    let id = alone.take_call(is_hold);
-    alone.now_ms += 6_000;
-    alone.end(id, CallResult::NoAnswer);
-    alone.now_ms += 200;
-    alone.input(Input::Tick);
-    assert_eq!(alone.wait_ms(), 0);
-    let noted = alone.list_failure();
+    let mut harness = NodeHarness::new();
+    harness.grant(true, Vec::new());
+    harness.answer_poll(Vec::new());
+    assert_eq!(harness.wait_ms(), 1_000);
+    let id = harness.take_call(is_poll);
+    harness.now_ms += 6_000;
+    harness.end_call(id, CallResult::NoAnswer);
+    harness.now_ms += 200;
+    harness.input(Input::Tick);
+    assert_eq!(harness.wait_ms(), 0);
+    let noted = harness.list_failure();
     assert!(noted.has_lapsed(1), "{noted:?}");
 }
 
-/// A failure that ended a wait for one came under the lease: to tell it as lapsed let tasks begin
-/// again after their last attempt.
+/// A failure that completes a waiting poll happened within the lease. Reporting it as lapsed allowed
+/// tasks to start again after their last attempt.
 #[test]
 fn a_failure_under_the_lease_waits_for_its_acknowledgement() {
-    let mut alone = Alone::new();
-    alone.grant(true, Vec::new());
-    alone.list(Vec::new());
-    alone.now_ms += 900;
-    let noted = alone.list_failure();
+    let mut harness = NodeHarness::new();
+    harness.grant(true, Vec::new());
+    harness.answer_poll(Vec::new());
+    harness.now_ms += 900;
+    let noted = harness.list_failure();
     assert!(!noted.has_lapsed(1) && !noted.is_noted(1), "{noted:?}");
 }
 
-/// A grant that went over a connection which was given up comes after newer ones: what it orders was
-/// concluded meanwhile, and may run elsewhere.
+/// A grant sent over an abandoned connection can arrive after newer ones. The runs that it orders
+/// have been concluded by then, and their tasks may run on other workers.
 #[yare::parameterized(
     of_an_earlier_enrolment = { (1 << 24) + 1, 9, false },
     overtaken = { (1 << 24) + 2, 4, false },
     newest = { (1 << 24) + 2, 6, true },
 )]
-fn a_late_grant_is_passed_over(token: u64, sequence: u64, is_taken: bool) {
-    let mut alone = Alone::new();
+fn a_late_grant_is_passed_over(token: u64, sequence: u64, is_applied: bool) {
+    let mut harness = NodeHarness::new();
     let grant = |token, sequence, orders| {
         Input::Message(Box::new(Message::NodeGrant(NodeGrant {
             capacity: crate::worker::CAPACITY,
@@ -641,7 +653,7 @@
             members: vec![address(0)],
         })))
     };
-    alone.input(grant((1 << 24) + 2, 5, Vec::new()));
-    alone.input(grant(token, sequence, vec![start()]));
-    assert_eq!(alone.calls.iter().any(|(_, it)| is_start(it)), is_taken);
+    harness.input(grant((1 << 24) + 2, 5, Vec::new()));
+    harness.input(grant(token, sequence, vec![start()]));
+    assert_eq!(harness.calls.iter().any(|(_, it)| is_start(it)), is_applied);
 }
--- a/tests/workflows/node_restarts.rs
+++ b/tests/workflows/node_restarts.rs
@@ -1,5 +1,6 @@
-//! A node that restarts at any point between an order, its answer, the list and the report, beside
-//! a worker that may be leaving and carries calls out late: what is called refused never runs.
+//! Simulates a node that restarts at any point between an order, its answer, the run list and the
+//! report. Its worker may be draining and may execute calls late. A run reported as refused must
+//! never run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,14 +17,14 @@
 
 const SEEDS: u64 = 400;
 
-const PLAYED_MS: u64 = 12_000;
+const SIMULATED_MS: u64 = 12_000;
 
-/// Longer than the test, so that a run never ends by itself.
+/// Longer than the simulated time, so that a run never ends by itself.
 const WORK_MS: u64 = 60_000;
 
 #[derive(Debug)]
 enum Event {
-    /// A call reaches the worker; its answer may get lost.
+    /// A call reaches the worker; its answer may be lost.
     Call {
         boot: u64,
         id: u64,
@@ -38,8 +39,8 @@
     Grant(NodeGrant),
 }
 
-/// A leader with one run after the other for one worker, its node, and what lies between them.
-struct Scene {
+/// A leader that creates runs for one worker, the worker's node, and the messages in transit.
+struct Simulation {
     now_ms: u64,
     random: fastrand::Rng,
     node: NodeCore,
@@ -49,17 +50,17 @@
     nature: BTreeMap<u64, Nature>,
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
-    wanted: BTreeSet<RunRef>,
-    /// Runs that the node has called refused, so that they are placed elsewhere.
+    desired: BTreeSet<RunRef>,
+    /// Runs that the node has reported as refused, so that a leader places them on other workers.
     refused: BTreeSet<RunRef>,
     refusals: u32,
 }
 
-impl Scene {
-    fn new(seed: u64) -> Scene {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let mut rules = Ledger::new(3);
         rules.submitted.insert(1, spec(vec![step(100, 1, &[])]));
-        Scene {
+        Simulation {
             now_ms: 10_000,
             random: fastrand::Rng::with_seed(seed),
             node: new_node(1),
@@ -69,7 +70,7 @@
             nature: BTreeMap::from([(1, Nature { work_ms: WORK_MS, fails_every: 0, crash: None })]),
             events: BTreeMap::new(),
             next_event: 0,
-            wanted: BTreeSet::new(),
+            desired: BTreeSet::new(),
             refused: BTreeSet::new(),
             refusals: 0,
         }
@@ -84,8 +85,8 @@
         self.events.insert((self.now_ms + after_ms, self.next_event), event);
     }
 
-    fn play(&mut self) {
-        let until_ms = self.now_ms + PLAYED_MS;
+    fn simulate(&mut self) {
+        let until_ms = self.now_ms + SIMULATED_MS;
         let mut next_index = 0;
         while self.now_ms < until_ms {
             self.now_ms += 1;
@@ -100,16 +101,16 @@
                         step: 0,
                         index: next_index,
                     };
-                    self.wanted.insert(RunRef { task, run: 1 });
+                    self.desired.insert(RunRef { task, run: 1 });
                     next_index = (next_index + 1).min(99);
                 }
-                // The leader gives up on a run.
-                9 => drop(self.wanted.pop_first()),
+                // The leader withdraws a run.
+                9 => drop(self.desired.pop_first()),
                 _ => (),
             }
             if self.now_ms.is_multiple_of(200) {
-                let it = self.worker.announce(self.now_ms);
-                self.tell(Input::WorkerAnnounced(it));
+                let announcement = self.worker.announce(self.now_ms);
+                self.input(Input::WorkerAnnounced(announcement));
             }
             self.worker.tick(self.now_ms, &self.nature, &mut self.rules);
             while let Some(entry) = self.events.first_entry()
@@ -119,11 +120,11 @@
                 self.handle(event);
             }
             if self.node.next_tick_ms() <= self.now_ms {
-                self.tell(Input::Tick);
+                self.input(Input::Tick);
             }
             for run in &self.refused {
                 let has_run = self.rules.has_started(*run);
-                assert!(!has_run, "{run:?} was called refused and has run");
+                assert!(!has_run, "{run:?} was reported as refused and has run");
             }
         }
     }
@@ -144,26 +145,26 @@
                 }
             }
             Event::Result { boot, id, result } if boot == self.boot => {
-                self.tell(Input::CallEnded { id, result });
+                self.input(Input::CallEnded { id, result });
             }
             Event::Result { .. } => (),
-            Event::Grant(it) => self.tell(Input::Message(Box::new(Message::NodeGrant(it)))),
+            Event::Grant(it) => self.input(Input::Message(Box::new(Message::NodeGrant(it)))),
         }
     }
 
-    fn tell(&mut self, input: Input) {
+    fn input(&mut self, input: Input) {
         let now = self.now();
         self.node.handle(now, input);
         for effect in self.node.take_effects() {
             match effect {
                 Effect::Call { id, call } => self.call(id, call),
-                Effect::Send { message: Message::NodeReport(it), .. } => self.answer(&it),
+                Effect::Send { message: Message::NodeReport(it), .. } => self.send_grant(&it),
                 Effect::Send { .. } | Effect::AnnouncementIgnored(_) => (),
             }
         }
     }
 
-    /// Starts may be carried out seconds late, with no answer.
+    /// Delivers a call; a start may be executed seconds late, without an answer.
     fn call(&mut self, id: u64, call: WorkerCall) {
         let boot = self.boot;
         let is_late = matches!(call.action, Action::Start { .. }) && self.random.u32(0..3) == 0;
@@ -177,18 +178,18 @@
         }
     }
 
-    /// Answers a report as the leader does.
-    fn answer(&mut self, report: &NodeReport) {
-        let Some(seen) = report.workers.first() else { return };
-        let told: Vec<_> = seen.refused.iter().map(|it| it.run).collect();
-        self.refusals += told.iter().filter(|it| !self.refused.contains(it)).count() as u32;
-        self.refused.extend(&told);
-        self.wanted.retain(|it| !told.contains(it));
+    /// Answers a report with a grant, as the leader does.
+    fn send_grant(&mut self, report: &NodeReport) {
+        let Some(worker_report) = report.workers.first() else { return };
+        let refused_runs: Vec<_> = worker_report.refused.iter().map(|it| it.run).collect();
+        self.refusals += refused_runs.iter().filter(|it| !self.refused.contains(it)).count() as u32;
+        self.refused.extend(&refused_runs);
+        self.desired.retain(|it| !refused_runs.contains(it));
         let is_known = |run: &RunRef| {
-            seen.running.iter().any(|it| it.run == *run)
-                || seen.ended.iter().any(|it| it.end.run == *run)
+            worker_report.running.iter().any(|it| it.run == *run)
+                || worker_report.ended.iter().any(|it| it.end.run == *run)
         };
-        let starts = self.wanted.iter().filter(|it| !is_known(it)).map(|it| {
+        let starts = self.desired.iter().filter(|it| !is_known(it)).map(|it| {
             RunOrder::Start(StartRun {
                 run: *it,
                 payload: "work".into(),
@@ -196,8 +197,8 @@
                 role: TaskRole::Plain,
             })
         });
-        let strays = seen.running.iter().filter(|it| !self.wanted.contains(&it.run));
-        let is_complete = seen.term == 1;
+        let strays = worker_report.running.iter().filter(|it| !self.desired.contains(&it.run));
+        let is_complete = worker_report.term == 1;
         let orders = match is_complete {
             true => starts.chain(strays.map(|it| RunOrder::Stop(it.run))).collect(),
             false => Vec::new(),
@@ -211,7 +212,7 @@
             token: 1 << 24,
             is_complete,
             lease_ms: 4_000,
-            worker: seen.name.clone(),
+            worker: worker_report.name.clone(),
             acked_cursor: 0,
             orders,
             services: Vec::new(),
@@ -241,9 +242,12 @@
 fn what_is_called_refused_never_runs_whenever_the_node_restarts() {
     let mut refusals = 0;
     for seed in 0..SEEDS {
-        let mut scene = Scene::new(seed);
-        scene.play();
-        refusals += scene.refusals;
+        let mut simulation = Simulation::new(seed);
+        simulation.simulate();
+        refusals += simulation.refusals;
     }
-    assert!(SEEDS as u32 <= refusals, "only {refusals} runs were refused, which shows little");
+    assert!(
+        SEEDS as u32 <= refusals,
+        "only {refusals} runs were refused, too few for the test to be conclusive"
+    );
 }
--- a/tests/workflows/same_id.rs
+++ b/tests/workflows/same_id.rs
@@ -1,16 +1,15 @@
-//! Workers that start again under the id that they had.
+//! Workers that restart under the same id.
 //!
-//! Users saw tasks that are to last go with their workers and not start again for 11 s and more,
-//! with capacity for them. The order of events: workers crash and are back half a second later under
-//! their ids; the nodes beside them have found nobody at their addresses for 200 ms, and are silent
-//! from then on; the leader hears of no worker that it could use. The cause: a worker's id was taken
-//! for one lifetime of it. What the next one says of itself is numbered anew, and was passed over as
-//! older than what was known; the worker stayed out of use for good, and its room with it.
+//! The failure: long-running tasks stop with their workers and do not start again for 11 s and more,
+//! although there is capacity for them. Workers crash and restart under their ids half a second
+//! later. Their nodes, whose connections were refused for 200 ms, are silent from then on, so the
+//! leader knows of no usable worker. The node assumed that an id denotes a single incarnation: the
+//! next one restarts its announcement numbers, so its announcements were ignored as outdated, and its
+//! capacity was never used again.
 //!
-//! The evidence: on the code as it was, 2 and 10 of 14 tasks here wait for the one and the three
-//! workers that were given up, for ever, and nothing else holds them back; workers with another id
-//! take them within a second. Where a worker is back before it is missed, its node goes on calling,
-//! and reads the ends of the second lifetime by the numbers of the first.
+//! With that fault 2 and 10 of 14 tasks here wait forever for the one and the three workers given up;
+//! workers with a new id receive them within a second. A worker that restarts before its node misses
+//! it is still polled, and the ends of its second incarnation were read by the numbers of the first.
 
 use aspenrail::prelude::*;
 
@@ -21,13 +20,13 @@
 
 const LONG: Nature = Nature { work_ms: 600_000, fails_every: 0, crash: None };
 
-/// Time within which a task that lasts must be at work again, as users ask.
-const AGAIN_MS: u64 = 6_000;
+/// Time within which a long-running task must run again, as users require.
+const RESTART_MAX_MS: u64 = 6_000;
 
-/// Tasks that need all of four workers: four at most fit on one.
+/// A number of tasks that needs all four workers: at most four tasks fit on one.
 const TASKS: u32 = 14;
 
-fn lasting(count: u32, cores: u32) -> WorkflowStep {
+fn long_running(count: u32, cores: u32) -> WorkflowStep {
     let mut res = step(count, cores, &[]);
     res.lasting = true;
     res
@@ -37,8 +36,8 @@
     assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
 }
 
-/// Plays tasks that last on four workers, of which some crash twice; after each time all tasks must
-/// be at work again.
+/// Runs long-running tasks on four workers, some of which crash twice. All tasks must run again after
+/// each crash.
 #[yare::parameterized(
     missed = { 600, &[1] },
     missed_several = { 600, &[0, 2, 3] },
@@ -50,19 +49,19 @@
     world.refuses_connections = true;
     world.keeps_ids = Some(true);
     world.install_queue();
-    world.submit(1, spec(vec![lasting(TASKS, 4)]), LONG);
+    world.submit(1, spec(vec![long_running(TASKS, 4)]), LONG);
     for _ in 0..2 {
-        // Longer than a run takes to be above suspicion.
+        // Longer than the age at which a run is no longer suspected of a crash.
         world.run_for(15_000);
         assert_eq!(world.rules.at_work(), TASKS as usize);
         crashing.iter().for_each(|vm| world.crash_worker(*vm, down_ms));
-        world.run_for(down_ms + AGAIN_MS);
+        world.run_for(down_ms + RESTART_MAX_MS);
         assert_eq!(world.rules.at_work(), TASKS as usize);
     }
     assert_unbroken(&world);
 }
 
-/// What was done before a crash is not done again, and all that was accepted is done in the end.
+/// Work finished before a crash is not repeated, and all accepted work completes.
 #[yare::parameterized(
     missed = { 600, true },
     back_before_it_is_missed = { 50, true },
