--- a/tests/cluster/edges.rs
+++ b/tests/cluster/edges.rs
@@ -1,4 +1,4 @@
-//! Bad input over each edge.
+//! Invalid input at each HTTP interface: for callers, for operators, and local to an agent's VM.
 
 use std::net::SocketAddr;
 
@@ -10,11 +10,11 @@
 
 use crate::harness::Cluster;
 
-/// Name, edge, method, path, token, headers, body, and the status and kind to be answered.
+/// Name, server address, method, path, token, headers, body, expected status and error kind.
 type Case<'a> =
     (&'a str, SocketAddr, &'a str, &'a str, &'a str, Vec<(&'a str, &'a str)>, String, u16, &'a str);
 
-/// Bad input over each edge: a clear answer, the process alive, the counter moved.
+/// Invalid input must be refused with its error kind, counted once, and leave the process running.
 #[test]
 fn bad_input_over_each_edge_is_refused() {
     let cluster = Cluster::start(Counts { controls: 1, entries: 1, agents: 1 });
@@ -22,7 +22,7 @@
     let admin = cluster.layout.admins[0];
     let local = cluster.layout.vms[0].local;
     let (team, operator) = (TEAM_TOKEN, OPERATOR_TOKEN);
-    let long = "x".repeat(300);
+    let long_key = "x".repeat(300);
     let spec = |tasks: u32, cpu: u32, class: &str| {
         json!({"key": "k", "spec": {
             "kind": "a", "class": class, "subject": "s", "tasks": tasks, "declared_run_ms": 1, "payload": "",
@@ -37,8 +37,8 @@
         "name": "c", "kind": "latency_critical", "answer_target_ms": 0, "answer_percentile_permille": 990,
         "deadline_max_ms": 0, "finish_target_ms": 0, "evictions_per_hour": 0, "urgent": false,
     }});
-    let quick = [("Aspenrail-Idempotent", "true")];
-    let table: Vec<Case<'_>> = vec![
+    let idempotent = [("Aspenrail-Idempotent", "true")];
+    let cases: Vec<Case<'_>> = vec![
         (
             "no token",
             caller,
@@ -179,7 +179,7 @@
             "POST",
             "/v1/quick/nope/x",
             team,
-            quick.to_vec(),
+            idempotent.to_vec(),
             "b".into(),
             400,
             "unknown_class",
@@ -190,7 +190,7 @@
             "POST",
             "/v1/quick/batch/x",
             team,
-            quick.to_vec(),
+            idempotent.to_vec(),
             "b".into(),
             400,
             "wrong_class_kind",
@@ -245,7 +245,7 @@
             "POST",
             "/v1/quick/quick/x",
             team,
-            vec![("Idempotency-Key", &long)],
+            vec![("Idempotency-Key", &long_key)],
             "b".into(),
             413,
             "payload_too_large",
@@ -256,7 +256,7 @@
             "POST",
             "/v1/quick/quick/x",
             team,
-            quick.to_vec(),
+            idempotent.to_vec(),
             "b".repeat(2 << 20),
             413,
             "payload_too_large",
@@ -383,10 +383,10 @@
             "not_found",
         ),
     ];
-    for (name, edge, method, path, token, headers, body, status, kind) in table {
-        let before = counter(edge, kind);
+    for (name, address, method, path, token, headers, body, status, kind) in cases {
+        let count_before = refusal_count(address, kind);
         let mut request =
-            ureq::http::Request::builder().method(method).uri(format!("http://{edge}{path}"));
+            ureq::http::Request::builder().method(method).uri(format!("http://{address}{path}"));
         for (header, value) in headers {
             request = request.header(header, value);
         }
@@ -402,13 +402,17 @@
         );
         assert_eq!(answer["ran"], "no", "{name}: {answer}");
         assert!(!answer["detail"].as_str().unwrap().is_empty(), "{name}");
-        assert_eq!(counter(edge, kind), before + 1, "{name}: the counter moves");
+        assert_eq!(
+            refusal_count(address, kind),
+            count_before + 1,
+            "{name}: the refusal is counted once"
+        );
     }
 }
 
-/// Returns how often a process refused a kind.
-fn counter(edge: SocketAddr, kind: &str) -> u64 {
-    let mut response = new_client(1).get(format!("http://{edge}/metrics")).call().unwrap();
+/// Returns how many requests a process has refused with an error kind.
+fn refusal_count(address: SocketAddr, kind: &str) -> u64 {
+    let mut response = new_client(1).get(format!("http://{address}/metrics")).call().unwrap();
     let text = response.body_mut().read_to_string().unwrap();
     let line = format!("aspenrail_refusals_total{{kind=\"{kind}\"}} ");
     text.lines().find_map(|it| it.strip_prefix(&line)?.parse().ok()).unwrap()
--- a/tests/cluster/harness.rs
+++ b/tests/cluster/harness.rs
@@ -1,4 +1,4 @@
-//! An installation of separate processes.
+//! Starts and controls an installation of separate processes.
 
 use std::{
     collections::BTreeMap,
@@ -23,13 +23,13 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 
-/// Far longer than any step takes.
-const STEP_MAX: Duration = Duration::from_secs(60);
+/// Far longer than any step takes, so only a hang exceeds it.
+const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
-const TIMING: &str =
+const TIMING_SETTINGS: &str =
     "election_timeout_ms = 500\nheartbeat_ms = 50\nlease_ms = 4000\nlease_margin_ms = 1000\n";
 
-/// An installation of separate processes; all of them end with it.
+/// An installation of separate processes; they are killed when it is dropped.
 pub struct Cluster {
     pub layout: Layout,
     pub processes: BTreeMap<PathBuf, Child>,
@@ -40,7 +40,7 @@
 impl Cluster {
     pub fn start(counts: Counts) -> Cluster {
         let folder = tempfile::tempdir().unwrap();
-        let layout = Layout::create(folder.path(), counts, TIMING).unwrap();
+        let layout = Layout::create(folder.path(), counts, TIMING_SETTINGS).unwrap();
         let capacity = Resources { cpu_millicores: 64_000, memory_mib: 250_000, accelerators: 0 };
         let mut executors = Vec::new();
         for vm in &layout.vms {
@@ -59,10 +59,11 @@
         let files =
             layout.control_files.iter().chain(&layout.agent_files).chain(&layout.entry_files);
         let files: Vec<_> = files.cloned().collect();
-        let mut res = Cluster { layout, processes: BTreeMap::new(), executors, _folder: folder };
-        files.iter().for_each(|it| res.spawn(it));
-        res.configure();
-        res
+        let mut cluster =
+            Cluster { layout, processes: BTreeMap::new(), executors, _folder: folder };
+        files.iter().for_each(|it| cluster.spawn(it));
+        cluster.configure();
+        cluster
     }
 
     pub fn spawn(&mut self, file: &Path) {
@@ -92,13 +93,13 @@
         let authorization = format!("Bearer {OPERATOR_TOKEN}");
         self.layout.admins.iter().find_map(|it| {
             let url = format!("http://{it}/v1/admin/{path}");
-            let sent = match body {
+            let result = match body {
                 Some(body) => {
                     client.post(url).header("Authorization", &authorization).send(body.to_string())
                 }
                 None => client.get(url).header("Authorization", &authorization).call(),
             };
-            let mut response = sent.ok().filter(|it| it.status().is_success())?;
+            let mut response = result.ok().filter(|it| it.status().is_success())?;
             response.body_mut().read_json().ok()
         })
     }
@@ -118,21 +119,21 @@
             class("batch", "batch", 0),
         ];
         let mut revision = 0;
-        for (at, change) in changes.iter().enumerate() {
-            revision = wait_until("a change is taken", || {
+        for (index, change) in changes.iter().enumerate() {
+            revision = wait_until("a change is accepted", || {
                 let body =
-                    json!({"based_on": revision, "key": format!("c-{at}"), "change": change});
+                    json!({"based_on": revision, "key": format!("c-{index}"), "change": change});
                 self.admin("configuration", Some(&body))?["revision"].as_u64()
             });
         }
         if self.layout.vms.is_empty() || self.layout.callers.is_empty() {
             return;
         }
-        wait_until("every endpoint is known", || {
+        wait_until("control lists every endpoint", || {
             let endpoints = self.admin("endpoints", None)?;
             (endpoints.as_array()?.len() == self.layout.vms.len()).then_some(())
         });
-        wait_until("the entries answer", || {
+        wait_until("the entries answer requests", || {
             let load = LoadOptions { seconds: 1, rate: 20, callers: 2, ..self.load() };
             let report = run_load(&load);
             (report.errors.is_empty() && 0 < report.answered).then_some(())
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Submits a job through any entry that answers, again until one does.
+    /// Submits a job through any entry; retries until one accepts it, and returns the job's id.
     pub fn submit(&self, key: &str, run_ms: u64) -> u64 {
         let spec = json!({
             "kind": "assessment", "class": "batch", "subject": "lot", "tasks": 2, "declared_run_ms": run_ms,
@@ -172,11 +173,11 @@
         let authorization = format!("Bearer {TEAM_TOKEN}");
         self.layout.callers.iter().find_map(|it| {
             let url = format!("http://{it}/v1/{path}");
-            let sent = match body {
+            let result = match body {
                 Some(body) => client.post(url).header("Authorization", &authorization).send(body),
                 None => client.get(url).header("Authorization", &authorization).call(),
             };
-            sent.ok()?.body_mut().read_json().ok()
+            result.ok()?.body_mut().read_json().ok()
         })
     }
 
@@ -211,13 +212,16 @@
     }
 }
 
-pub fn wait_until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
+pub fn wait_until<T>(condition: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let start = Instant::now();
     loop {
-        if let Some(it) = look() {
-            return it;
+        if let Some(value) = poll() {
+            return value;
         }
-        assert!(begun.elapsed() < STEP_MAX, "waited in vain until {what}");
+        assert!(
+            start.elapsed() < STEP_TIMEOUT,
+            "timed out after {STEP_TIMEOUT:?} waiting until {condition}"
+        );
         thread::sleep(Duration::from_millis(50));
     }
 }
--- a/tests/cluster/main.rs
+++ b/tests/cluster/main.rs
@@ -1,4 +1,4 @@
-//! Separate processes on loopback: killed, frozen and stopped while they work.
+//! Tests of separate processes on loopback that are killed, frozen and stopped under load.
 #![allow(clippy::unwrap_used)]
 
 mod edges;
--- a/tests/promises/checkers.rs
+++ b/tests/promises/checkers.rs
@@ -1,4 +1,4 @@
-//! The nine promises, each a function over the history.
+//! Checks each of the nine promises against the recorded history.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,40 +11,40 @@
 
 use crate::history::{History, QuickRecord, Run};
 
-/// Returns every violation found, with the name of its promise.
-pub fn check_all(it: &History, end: Option<&State>) -> Vec<String> {
+/// Returns every violation found, prefixed with the name of its promise.
+pub fn check_all(history: &History, final_state: Option<&State>) -> Vec<String> {
     let mut res = Vec::new();
     let mut add = |name: &str, list: Vec<String>| {
         res.extend(list.into_iter().map(|it| format!("{name}: {it}")))
     };
-    add("no VM overfilled", it.overfull.clone());
-    add("no task in two places", it.doubled.clone());
-    add("evicted work resumes exactly once", starts_once(it));
-    add("own whole answer", foreign_answers(it));
-    add("not run means not run", ran_though_told_not(it));
-    add("at most once", ran_twice(it));
-    add("a leaving endpoint gets nothing new", it.late_work.clone());
-    add("planned stops cut off nothing", it.cut_off.clone());
-    add("configuration never reverts", reverts(it));
-    if let Some(state) = end {
+    add("no VM overfilled", history.overcommitted_vms.clone());
+    add("no task in two places", history.duplicate_runs.clone());
+    add("evicted work resumes exactly once", incarnations_started_twice(history));
+    add("own whole answer", mismatched_answers(history));
+    add("not run means not run", ran_though_told_not(history));
+    add("at most once", ran_twice(history));
+    add("a leaving endpoint gets nothing new", history.work_after_leave.clone());
+    add("planned stops cut off nothing", history.unanswered_at_stop.clone());
+    add("configuration never reverts", configuration_reverts(history));
+    if let Some(state) = final_state {
         add("ledger", state.audit().err().into_iter().collect());
-        add("accepted jobs complete once", unfinished(it, state));
+        add("accepted jobs complete once", unfinished_jobs(history, state));
     }
     res
 }
 
-fn starts_once(it: &History) -> Vec<String> {
-    let twice = it.starts.iter().filter(|(_, vms)| 1 < vms.len());
-    twice
+fn incarnations_started_twice(history: &History) -> Vec<String> {
+    let repeated = history.starts.iter().filter(|(_, vms)| 1 < vms.len());
+    repeated
         .map(|((task, incarnation), vms)| {
             format!("task {task}.{incarnation} was started on VMs {vms:?}")
         })
         .collect()
 }
 
-fn foreign_answers(it: &History) -> Vec<String> {
+fn mismatched_answers(history: &History) -> Vec<String> {
     let mut res = Vec::new();
-    for quick in it.quicks.values() {
+    for quick in history.quick_requests.values() {
         if let Some((_, CallerAnswer::Quick { body, .. })) = &quick.answer
             && *body != quick.body.as_bytes()
         {
@@ -54,40 +54,44 @@
     res
 }
 
-/// Time that the answer to a look-up of a key may be on its way.
-const LOOK_UP_MS: u64 = 1_000;
+/// Longest time that the answer to the look-up of a key may take to arrive.
+const LOOKUP_DELAY_MAX_MS: u64 = 1_000;
 
-/// A request told "not run" must not have run. Requests with one key have one body, so this holds
-/// of every sending of a key by the time that any is told; but for a sending that was still under
-/// way then and began to run while the look-up's answer travelled: it is told of its own outcome.
-fn ran_though_told_not(it: &History) -> Vec<String> {
+/// Returns requests that ran although their caller was answered "not run".
+///
+/// Requests with one key have one body, so no attempt with the key may have run before the refusal.
+/// Exempt is a run within the look-up delay before it while another attempt was in flight: that
+/// attempt may start while the look-up's answer travels, and its caller gets its own outcome.
+fn ran_though_told_not(history: &History) -> Vec<String> {
     let mut res = Vec::new();
-    for (token, quick) in &it.quicks {
-        let Some((told_ms, CallerAnswer::Refused(refusal))) = &quick.answer else { continue };
+    for (token, quick) in &history.quick_requests {
+        let Some((refused_ms, CallerAnswer::Refused(refusal))) = &quick.answer else { continue };
         if answer_for_error(refusal.kind).execution != ExecutionStatus::NotExecuted {
             continue;
         }
-        let is_open = |(other, it): (&u64, &QuickRecord)| {
-            // It may have been answered while the look-up's answer travelled.
-            let answered_ms = it.answer.as_ref().map_or(u64::MAX, |it| it.0 + LOOK_UP_MS);
+        let is_in_flight = |(other, it): (&u64, &QuickRecord)| {
+            // The attempt may have been answered while the look-up's answer travelled.
+            let answered_ms = it.answer.as_ref().map_or(u64::MAX, |it| it.0 + LOOKUP_DELAY_MAX_MS);
             other != token
                 && it.body == quick.body
-                && it.asked_ms <= *told_ms
-                && *told_ms <= answered_ms
+                && it.sent_ms <= *refused_ms
+                && *refused_ms <= answered_ms
         };
-        let other_is_open = quick.key.is_some() && it.quicks.iter().any(is_open);
-        let counts = |run: &&Run| match quick.key {
+        let other_is_in_flight =
+            quick.key.is_some() && history.quick_requests.iter().any(is_in_flight);
+        let is_violation = |run: &&Run| match quick.key {
             None => true,
             Some(_) => {
-                run.at_ms <= *told_ms && (!other_is_open || run.at_ms + LOOK_UP_MS < *told_ms)
+                run.at_ms <= *refused_ms
+                    && (!other_is_in_flight || run.at_ms + LOOKUP_DELAY_MAX_MS < *refused_ms)
             }
         };
-        if let Some(run) = it.runs.get(&quick.body).into_iter().flatten().find(counts) {
-            let sendings = it.quicks.values().filter(|it| it.body == quick.body);
-            let sendings: Vec<_> =
-                sendings.map(|it| (it.asked_ms, it.answer.as_ref().map(|it| it.0))).collect();
+        if let Some(run) = history.runs.get(&quick.body).into_iter().flatten().find(is_violation) {
+            let attempts = history.quick_requests.values().filter(|it| it.body == quick.body);
+            let attempts: Vec<_> =
+                attempts.map(|it| (it.sent_ms, it.answer.as_ref().map(|it| it.0))).collect();
             res.push(format!(
-                "{} was told {} at {told_ms}, and ran at {}; asked and answered at {sendings:?}",
+                "{} was refused with {} at {refused_ms}, but ran at {}; sent and answered at {attempts:?}",
                 quick.body, refusal.kind, run.at_ms
             ));
         }
@@ -95,24 +99,30 @@
     res
 }
 
-fn ran_twice(it: &History) -> Vec<String> {
-    let keyed: BTreeSet<_> =
-        it.quicks.values().filter(|it| it.key.is_some()).map(|it| it.body.as_str()).collect();
-    let twice =
-        keyed.into_iter().filter(|body| it.runs.get(*body).is_some_and(|runs| 1 < runs.len()));
-    let places =
-        |body: &str| -> Vec<_> { it.runs[body].iter().map(|run| (run.at_ms, run.vm)).collect() };
-    twice.map(|body| format!("{body} ran at (ms, VM) {:?}", places(body))).collect()
+fn ran_twice(history: &History) -> Vec<String> {
+    let keyed_bodies: BTreeSet<_> = history
+        .quick_requests
+        .values()
+        .filter(|it| it.key.is_some())
+        .map(|it| it.body.as_str())
+        .collect();
+    let repeated = keyed_bodies
+        .into_iter()
+        .filter(|body| history.runs.get(*body).is_some_and(|runs| 1 < runs.len()));
+    let runs_of = |body: &str| -> Vec<_> {
+        history.runs[body].iter().map(|run| (run.at_ms, run.vm)).collect()
+    };
+    repeated.map(|body| format!("{body} ran at (ms, VM) {:?}", runs_of(body))).collect()
 }
 
-fn reverts(it: &History) -> Vec<String> {
-    let mut res = it.reverts.clone();
+fn configuration_reverts(history: &History) -> Vec<String> {
+    let mut res = history.reverts.clone();
     let mut winners: BTreeMap<Revision, (Revision, &str)> = BTreeMap::new();
-    for change in &it.changes {
+    for change in &history.changes {
         let Some(Ok(Reply::Configured(revision))) = &change.outcome else { continue };
-        let known = winners.insert(*revision, (change.based_on, &change.key));
-        if known.is_some_and(|known| known != (change.based_on, change.key.as_str())) {
-            res.push(format!("revision {revision} was promised to two changes"));
+        let previous = winners.insert(*revision, (change.based_on, &change.key));
+        if previous.is_some_and(|previous| previous != (change.based_on, change.key.as_str())) {
+            res.push(format!("revision {revision} was assigned to two changes"));
         }
     }
     let mut based_on = BTreeSet::new();
@@ -124,16 +134,16 @@
     res
 }
 
-fn unfinished(it: &History, state: &State) -> Vec<String> {
+fn unfinished_jobs(history: &History, state: &State) -> Vec<String> {
     let mut res = Vec::new();
-    for (id, tasks) in &it.jobs {
+    for (id, tasks) in &history.jobs {
         let Some(job) = state.jobs.job(*id) else {
             res.push(format!("accepted job {id} is lost"));
             continue;
         };
         let states: Vec<_> =
             job.task_ids().filter_map(|id| state.jobs.task(id)).map(|it| it.state).collect();
-        let cancelled = it.cancelled.contains(id);
+        let cancelled = history.cancelled.contains(id);
         let is_right = |it: &TaskState| {
             *it == TaskState::Completed || (cancelled && *it == TaskState::Cancelled)
         };
--- a/tests/promises/disk.rs
+++ b/tests/promises/disk.rs
@@ -1,4 +1,4 @@
-//! A disk that forgets what was not synced.
+//! A fake disk that loses unsynced writes in a crash.
 
 use std::collections::VecDeque;
 
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct FakeDisk {
     durable: RecoveredState,
-    written: VecDeque<(u64, Vec<DiskWrite>)>,
-    /// A disk that has failed syncs nothing any more.
-    pub stuck: bool,
+    unsynced: VecDeque<(u64, Vec<DiskWrite>)>,
+    /// A failed disk syncs no further writes.
+    pub has_failed: bool,
 }
 
 impl FakeDisk {
@@ -19,26 +19,30 @@
     }
 
     pub fn write(&mut self, number: u64, writes: Vec<DiskWrite>) {
-        self.written.push_back((number, writes));
+        self.unsynced.push_back((number, writes));
     }
 
     /// Syncs everything written up to `number`.
     pub fn sync(&mut self, number: u64) {
-        while self.written.front().is_some_and(|(it, _)| *it <= number) {
-            let (_, writes) = self.written.pop_front().unwrap();
-            writes.into_iter().for_each(|it| replay(&mut self.durable, it));
+        while self.unsynced.front().is_some_and(|(it, _)| *it <= number) {
+            let (_, writes) = self.unsynced.pop_front().unwrap();
+            writes.into_iter().for_each(|it| apply_write(&mut self.durable, it));
         }
     }
 
-    /// Crashes: of the writes not synced, the first `kept` survive all the same.
-    pub fn crash(&mut self, kept: usize) -> RecoveredState {
-        let survivors: Vec<_> = self.written.drain(..).take(kept).collect();
-        survivors.into_iter().flat_map(|(_, it)| it).for_each(|it| replay(&mut self.durable, it));
+    /// Simulates a crash and returns the surviving state: all synced writes and the first
+    /// `kept_writes` unsynced ones.
+    pub fn crash(&mut self, kept_writes: usize) -> RecoveredState {
+        let survivors: Vec<_> = self.unsynced.drain(..).take(kept_writes).collect();
+        survivors
+            .into_iter()
+            .flat_map(|(_, it)| it)
+            .for_each(|it| apply_write(&mut self.durable, it));
         self.durable.clone()
     }
 }
 
-fn replay(disk: &mut RecoveredState, write: DiskWrite) {
+fn apply_write(disk: &mut RecoveredState, write: DiskWrite) {
     let first = disk.snapshot.as_ref().map_or(0, |it| it.index) + 1;
     match write {
         DiskWrite::HardState(it) => disk.hard_state = it,
--- a/tests/promises/history.rs
+++ b/tests/promises/history.rs
@@ -1,4 +1,4 @@
-//! What happened, as the checkers read it.
+//! The record of a test run that the checkers read.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -7,19 +7,19 @@
 
 use aspenrail::{entry::CallerAnswer, prelude::*};
 
-/// A quick request and what its caller was told.
+/// A quick request and its answer.
 #[derive(Clone, Debug)]
 pub struct QuickRecord {
     pub body: String,
     pub key: Option<CompactString>,
-    /// When it was answered, and what.
+    /// Time of the answer in ms, and the answer.
     pub answer: Option<(u64, CallerAnswer)>,
-    /// Entry that took it, and when.
+    /// Node of the entry that received the request.
     pub entry: usize,
-    pub asked_ms: u64,
+    pub sent_ms: u64,
 }
 
-/// A change of configuration and what its operator was told.
+/// A change of configuration and its outcome.
 #[derive(Clone, Debug)]
 pub struct ChangeRecord {
     pub based_on: Revision,
@@ -27,7 +27,7 @@
     pub outcome: Option<Result<Reply, Refusal>>,
 }
 
-/// A run of a request at an endpoint.
+/// One execution of a request at an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Run {
     pub at_ms: u64,
@@ -36,24 +36,24 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    pub quicks: BTreeMap<u64, QuickRecord>,
-    /// Runs by the body of the request.
+    pub quick_requests: BTreeMap<u64, QuickRecord>,
+    /// Runs by request body.
     pub runs: HashMap<String, Vec<Run>>,
     pub changes: Vec<ChangeRecord>,
-    /// Accepted jobs, with their number of tasks.
+    /// Number of tasks of each accepted job.
     pub jobs: BTreeMap<JobId, u32>,
     pub submitted: u64,
     pub cancelled: Vec<JobId>,
-    /// Places where each incarnation was started.
+    /// VMs on which each task incarnation was started.
     pub starts: HashMap<(TaskId, u32), Vec<usize>>,
-    /// When endpoints left, by VM; cleared when they come back.
-    pub left: BTreeMap<usize, u64>,
-    pub late_work: Vec<String>,
+    /// Time at which the endpoint of a VM left; removed when it announces itself again.
+    pub left_ms_by_vm: BTreeMap<usize, u64>,
+    pub work_after_leave: Vec<String>,
     pub in_force: BTreeMap<SocketAddr, Revision>,
     pub reverts: Vec<String>,
-    pub overfull: Vec<String>,
-    pub doubled: Vec<String>,
-    pub cut_off: Vec<String>,
+    pub overcommitted_vms: Vec<String>,
+    pub duplicate_runs: Vec<String>,
+    pub unanswered_at_stop: Vec<String>,
     pub faults: BTreeMap<&'static str, u32>,
     pub operations: u64,
 }
--- a/tests/promises/main.rs
+++ b/tests/promises/main.rs
@@ -1,8 +1,8 @@
-//! The promises under faults: whole groups of cores under virtual time, with fake links, disks,
-//! workers and endpoints, and checkers over what happened.
+//! Checks the service's promises under injected faults. Whole groups of cores run in virtual time
+//! with fake links, disks, workers and endpoints; checkers then read the recorded history.
 //!
-//! `cargo test --release --test promises -- --ignored --nocapture` tries many more schedules;
-//! `ASPENRAIL_SEEDS` says how many.
+//! `cargo test --release --test promises -- --ignored --nocapture` runs many more schedules;
+//! `ASPENRAIL_SEEDS` sets their number.
 #![allow(clippy::unwrap_used)]
 
 mod checkers;
--- a/tests/promises/world/effects.rs
+++ b/tests/promises/world/effects.rs
@@ -1,4 +1,4 @@
-//! What the cores want done, carried out by the fakes.
+//! Applies the effects that the cores emit to the fakes.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -12,13 +12,13 @@
 use crate::{
     history::Run,
     sabotage::Sabotage,
-    world::{Asked, CAPACITY, Event, LEAVE_MS, RoleCore, World},
+    world::{CAPACITY, Event, LEAVE_GRACE_MS, PendingRequest, RoleCore, World},
 };
 
 impl World {
     pub(super) fn call_worker(&mut self, node: usize, call: WorkerCall) {
         let RoleCore::Agent { vm, .. } = self.nodes[node].role else { return };
-        if !self.vms[vm].up {
+        if !self.vms[vm].is_up {
             return;
         }
         let starts_before = self.vms[vm].worker.starts;
@@ -38,7 +38,7 @@
         if let (Some(Sabotage::StartTwice), WorkerCall::Start { task, incarnation, .. }) =
             (&self.sabotage, &call)
         {
-            // As if a second copy of the worker had heard the order too.
+            // Simulates a second copy of the worker that receives the same order.
             self.vms[vm].worker.clone().call(self.now_ms, &call);
             self.history.starts.entry((*task, *incarnation)).or_default().push(vm);
         }
@@ -48,19 +48,19 @@
         {
             self.history.starts.entry((*task, *incarnation)).or_default().push(vm);
         }
-        // An answer that gets lost on the way.
-        let lost = self.random.u32(0..1_000) < self.links.drop_permille / 4;
-        let result = if lost { agent::WorkerResult::Failed("timeout".into()) } else { result };
+        // The worker acts on the call, but its answer may be lost.
+        let is_lost = self.random.u32(0..1_000) < self.links.drop_permille / 4;
+        let result = if is_lost { agent::WorkerResult::Failed("timeout".into()) } else { result };
         self.input_agent(node, agent::Input::Worker { call, result });
     }
 
-    pub(super) fn executed(&mut self, node: usize, boot: u64, id: ExecutionId) {
+    pub(super) fn finish_execution(&mut self, node: usize, boot: u64, id: ExecutionId) {
         let RoleCore::Agent { vm, .. } = self.nodes[node].role else { return };
         if self.nodes[node].boot != boot {
             return;
         }
         if self.nodes[node].paused {
-            return self.nodes[node].waiting.push(Event::Executed { node, boot, id });
+            return self.nodes[node].deferred_events.push(Event::Executed { node, boot, id });
         }
         let Some((_, call)) = self.vms[vm].executions.remove(&id) else { return };
         let body = match self.sabotage {
@@ -72,18 +72,18 @@
         self.input_agent(node, agent::Input::Executor { execution: id, result });
     }
 
-    pub(super) fn execute(&mut self, node: usize, call: ExecutorCall) {
+    pub(super) fn start_execution(&mut self, node: usize, call: ExecutorCall) {
         let RoleCore::Agent { vm, .. } = self.nodes[node].role else { return };
         let body = String::from_utf8_lossy(&call.body).into_owned();
-        if let Some(left_ms) = self.history.left.get(&vm)
-            && left_ms + LEAVE_MS < self.now_ms
+        if let Some(left_ms) = self.history.left_ms_by_vm.get(&vm)
+            && left_ms + LEAVE_GRACE_MS < self.now_ms
         {
             self.history
-                .late_work
+                .work_after_leave
                 .push(format!("{body} ran on VM {vm} {} ms after it left", self.now_ms - left_ms));
         }
-        let doubled = self.sabotage == Some(Sabotage::RunTwice);
-        for _ in 0..1 + usize::from(doubled) {
+        let runs_twice = self.sabotage == Some(Sabotage::RunTwice);
+        for _ in 0..1 + usize::from(runs_twice) {
             self.history.runs.entry(body.clone()).or_default().push(Run { at_ms: self.now_ms, vm });
         }
         let boot = self.nodes[node].boot;
@@ -93,31 +93,33 @@
         self.push(work_ms, Event::Executed { node, boot, id });
     }
 
-    /// Looks whether any task runs in two places, or any VM holds too much.
-    pub(super) fn look_at_workers(&mut self) {
-        let mut places: BTreeMap<TaskId, usize> = BTreeMap::new();
-        for (at, vm) in self.vms.iter_mut().enumerate() {
+    /// Records tasks that run on two VMs, and VMs whose tasks use more than their capacity.
+    pub(super) fn check_workers(&mut self) {
+        let mut vm_by_task: BTreeMap<TaskId, usize> = BTreeMap::new();
+        for (vm_index, vm) in self.vms.iter_mut().enumerate() {
             vm.worker.advance(self.now_ms);
             for (task, incarnation) in vm.worker.running() {
-                if let Some(other) = places.insert(task, at) {
+                if let Some(other) = vm_by_task.insert(task, vm_index) {
                     let text = format!(
-                        "task {task}.{incarnation} runs on VMs {other} and {at} at {}",
+                        "task {task}.{incarnation} runs on VMs {other} and {vm_index} at {} ms",
                         self.now_ms
                     );
-                    if self.history.doubled.len() < 5 {
-                        self.history.doubled.push(text);
+                    if self.history.duplicate_runs.len() < 5 {
+                        self.history.duplicate_runs.push(text);
                     }
                 }
             }
-            let held = vm.worker.held();
-            if !control::state::fits(held, CAPACITY) && self.history.overfull.len() < 5 {
-                self.history.overfull.push(format!("VM {at} holds {held:?} at {}", self.now_ms));
+            let used = vm.worker.held();
+            if !control::state::fits(used, CAPACITY) && self.history.overcommitted_vms.len() < 5 {
+                self.history
+                    .overcommitted_vms
+                    .push(format!("tasks on VM {vm_index} use {used:?} at {} ms", self.now_ms));
             }
         }
     }
 
-    /// Carries out what a core wants done, and sets its timer.
-    pub(super) fn after_turn(&mut self, node: usize) {
+    /// Applies the pending effects of a core and schedules its next tick.
+    pub(super) fn apply_effects(&mut self, node: usize) {
         let boot = self.nodes[node].boot;
         let (in_force, next_ms) = match &mut self.nodes[node].role {
             RoleCore::Entry { core: Some(core) } => {
@@ -144,15 +146,15 @@
                         agent::Effect::Worker(call) => {
                             self.push(1, Event::Worker { node, boot, call })
                         }
-                        agent::Effect::Call(it) => self.execute(node, it),
+                        agent::Effect::Call(it) => self.start_execution(node, it),
                         agent::Effect::Answer { .. } => (),
                     }
                 }
                 (in_force, next_ms)
             }
             RoleCore::Control { core: Some(core), .. } => {
-                let shows = core.is_ready() || self.sabotage == Some(Sabotage::ShowsTooEarly);
-                let in_force = if shows { core.in_force() } else { Revision(0) };
+                let is_visible = core.is_ready() || self.sabotage == Some(Sabotage::ShowsTooEarly);
+                let in_force = if is_visible { core.in_force() } else { Revision(0) };
                 let (effects, next_ms) = (core.take_effects(), core.next_tick_ms());
                 for effect in effects {
                     match effect {
@@ -175,7 +177,7 @@
             }
             _ => return,
         };
-        self.note_in_force(node, in_force);
+        self.record_in_force(node, in_force);
         let at_ms = next_ms.clamp(self.now_ms + 1, self.now_ms + 1_000);
         if at_ms < self.nodes[node].tick_ms || self.nodes[node].tick_ms <= self.now_ms {
             self.nodes[node].tick_ms = at_ms;
@@ -183,7 +185,7 @@
         }
     }
 
-    pub(super) fn note_in_force(&mut self, node: usize, in_force: Revision) {
+    pub(super) fn record_in_force(&mut self, node: usize, in_force: Revision) {
         if in_force == Revision(0) {
             return;
         }
@@ -208,7 +210,7 @@
         if self.random.u32(0..1_000) < self.links.drop_permille {
             return;
         }
-        let copies = 1 + usize::from(self.random.u32(0..1_000) < self.links.double_permille);
+        let copies = 1 + usize::from(self.random.u32(0..1_000) < self.links.duplicate_permille);
         let from = self.nodes[from].address;
         for _ in 0..copies {
             let delay_ms = self.random.u64(1..=self.links.delay_max_ms);
@@ -218,20 +220,20 @@
     }
 
     pub(super) fn on_answer(&mut self, token: u64, answer: CallerAnswer) {
-        let Some(asked) = self.tokens.remove(&token) else { return };
-        match (asked, answer) {
-            (Asked::Quick, answer) => {
+        let Some(pending) = self.pending_requests.remove(&token) else { return };
+        match (pending, answer) {
+            (PendingRequest::Quick, answer) => {
                 let answer = match (&self.sabotage, answer) {
                     (Some(Sabotage::LieNotRun), CallerAnswer::Quick { .. }) => {
                         CallerAnswer::Refused(refusal(ErrorKind::QueueFull, "a lie"))
                     }
                     (_, it) => it,
                 };
-                if let Some(it) = self.history.quicks.get_mut(&token) {
+                if let Some(it) = self.history.quick_requests.get_mut(&token) {
                     it.answer = Some((self.now_ms, answer));
                 }
             }
-            (Asked::Submit(tasks), CallerAnswer::Done(Reply::JobAccepted(it))) => {
+            (PendingRequest::Submit(tasks), CallerAnswer::Done(Reply::JobAccepted(it))) => {
                 self.history.jobs.insert(it.job, tasks);
             }
             _ => (),
@@ -239,7 +241,7 @@
     }
 
     pub(super) fn on_outcome(&mut self, token: u64, outcome: Result<Reply, Refusal>) {
-        if let Some(Asked::Change(index)) = self.tokens.remove(&token) {
+        if let Some(PendingRequest::Change(index)) = self.pending_requests.remove(&token) {
             self.history.changes[index].outcome = Some(outcome);
         }
     }
--- a/tests/promises/world/mod.rs
+++ b/tests/promises/world/mod.rs
@@ -1,4 +1,4 @@
-//! A group of cores under virtual time, with fakes at their interfaces.
+//! Runs a group of cores in virtual time, with fakes at their interfaces.
 
 mod effects;
 mod settings;
@@ -30,20 +30,20 @@
 pub const GROUP_ID: Place = Place { region: 1, group: 1 };
 pub const CAPACITY: Resources =
     Resources { cpu_millicores: 8_000, memory_mib: 16_000, accelerators: 1 };
-const WALL_MS: u64 = 1_700_000_000_000;
+const WALL_CLOCK_OFFSET_MS: u64 = 1_700_000_000_000;
 const START_MS: u64 = 10_000;
 
-/// How long after a leave new work may still arrive: "a few seconds".
-const LEAVE_MS: u64 = 3_000;
+/// Time after a leave in which new work may still arrive; the promise allows "a few seconds".
+const LEAVE_GRACE_MS: u64 = 3_000;
 
 pub struct Node {
     pub role: RoleCore,
     pub address: SocketAddr,
     pub boot: u64,
     pub started_ms: u64,
-    /// While paused, nothing is handled; what arrives waits.
+    /// While paused, events are deferred until the process resumes.
     pub paused: bool,
-    waiting: Vec<Event>,
+    deferred_events: Vec<Event>,
     tick_ms: u64,
 }
 
@@ -56,9 +56,9 @@
 /// The fakes on one VM.
 pub struct FakeVm {
     pub worker: WorkerModel,
-    pub up: bool,
+    pub is_up: bool,
     executions: HashMap<ExecutionId, (u64, ExecutorCall)>,
-    pub announces: bool,
+    pub is_announcing: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -70,13 +70,13 @@
     Tick { node: usize, boot: u64 },
 }
 
-/// How the links behave.
+/// Faults of the links between processes.
 #[derive(Clone, Debug)]
 pub struct Links {
     pub drop_permille: u32,
-    pub double_permille: u32,
+    pub duplicate_permille: u32,
     pub delay_max_ms: u64,
-    /// One-way cuts, from and to.
+    /// One-way cuts as (sender, receiver).
     pub cut: BTreeSet<(usize, usize)>,
 }
 
@@ -88,10 +88,10 @@
     pub links: Links,
     pub history: History,
     pub sabotage: Option<Sabotage>,
-    queue: BinaryHeap<Reverse<(u64, u64, EventBox)>>,
+    queue: BinaryHeap<Reverse<(u64, u64, UnorderedEvent)>>,
     sequence: u64,
     next_token: u64,
-    tokens: HashMap<u64, Asked>,
+    pending_requests: HashMap<u64, PendingRequest>,
     pub controls: Vec<usize>,
     pub entries: Vec<usize>,
     pub agents: Vec<usize>,
@@ -99,7 +99,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Asked {
+enum PendingRequest {
     Quick,
     Submit(u32),
     Cancel,
@@ -107,28 +107,29 @@
     Other,
 }
 
+/// Always equal, so the queue orders events by time and sequence alone.
 #[derive(Clone, Debug)]
-struct EventBox(Event);
+struct UnorderedEvent(Event);
 
-impl PartialEq for EventBox {
-    fn eq(&self, _: &EventBox) -> bool {
+impl PartialEq for UnorderedEvent {
+    fn eq(&self, _: &UnorderedEvent) -> bool {
         true
     }
 }
-impl Eq for EventBox {}
-impl PartialOrd for EventBox {
-    fn partial_cmp(&self, other: &EventBox) -> Option<std::cmp::Ordering> {
+impl Eq for UnorderedEvent {}
+impl PartialOrd for UnorderedEvent {
+    fn partial_cmp(&self, other: &UnorderedEvent) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for EventBox {
-    fn cmp(&self, _: &EventBox) -> std::cmp::Ordering {
+impl Ord for UnorderedEvent {
+    fn cmp(&self, _: &UnorderedEvent) -> std::cmp::Ordering {
         std::cmp::Ordering::Equal
     }
 }
 
 impl World {
-    /// Makes a group and lets its cores begin.
+    /// Creates a group and starts all its processes.
     pub fn new(seed: u64, controls: usize, entries: usize, agents: usize) -> World {
         let mut res = World {
             now_ms: START_MS,
@@ -137,7 +138,7 @@
             vms: Vec::new(),
             links: Links {
                 drop_permille: 0,
-                double_permille: 0,
+                duplicate_permille: 0,
                 delay_max_ms: 3,
                 cut: BTreeSet::new(),
             },
@@ -146,7 +147,7 @@
             queue: BinaryHeap::new(),
             sequence: 0,
             next_token: 0,
-            tokens: HashMap::new(),
+            pending_requests: HashMap::new(),
             controls: (0..controls).collect(),
             entries: (controls..controls + entries).collect(),
             agents: (controls + entries..controls + entries + agents).collect(),
@@ -168,12 +169,12 @@
             } else if node < controls + entries {
                 RoleCore::Entry { core: None }
             } else {
-                let worker = boundless_worker();
+                let worker = unlimited_worker();
                 res.vms.push(FakeVm {
                     worker,
-                    up: true,
+                    is_up: true,
                     executions: HashMap::new(),
-                    announces: true,
+                    is_announcing: true,
                 });
                 RoleCore::Agent { core: None, vm: node - controls - entries }
             };
@@ -183,7 +184,7 @@
                 boot: 0,
                 started_ms: 0,
                 paused: false,
-                waiting: Vec::new(),
+                deferred_events: Vec::new(),
                 tick_ms: 0,
             });
             res.start(node);
@@ -192,7 +193,7 @@
     }
 
     pub fn now(&self) -> Now {
-        Now { mono_ms: self.now_ms, wall_ms: WALL_MS + self.now_ms }
+        Now { mono_ms: self.now_ms, wall_ms: WALL_CLOCK_OFFSET_MS + self.now_ms }
     }
 
     /// Starts a process that is not running.
@@ -200,7 +201,7 @@
         let now = self.now();
         let boot = self.random.u64(..);
         let control_addresses: Vec<_> = self.controls.iter().map(|it| address(*it)).collect();
-        let own = self.nodes[node].address;
+        let own_address = self.nodes[node].address;
         self.nodes[node].boot = boot;
         self.nodes[node].started_ms = self.now_ms;
         match &mut self.nodes[node].role {
@@ -208,7 +209,7 @@
                 let options = ControlOptions {
                     group_id: GROUP_ID,
                     member: *member,
-                    address: own,
+                    address: own_address,
                     control_addresses,
                     settings: control_settings(),
                     boot,
@@ -222,7 +223,7 @@
                 let options = EntryOptions {
                     name: format_compact!("entry-{node}"),
                     zone: format_compact!("zone-{}", node % 3),
-                    address: own,
+                    address: own_address,
                     control_addresses,
                     settings: entry_settings(),
                     boot,
@@ -231,7 +232,7 @@
             }
             RoleCore::Agent { core, vm } => {
                 let options = AgentOptions {
-                    address: own,
+                    address: own_address,
                     control_addresses,
                     zone: format_compact!("zone-{}", *vm % 3),
                     rack: format_compact!("rack-{}", *vm / 2),
@@ -240,23 +241,23 @@
                 };
                 *core = Some(Box::new(AgentCore::new(options, Metrics::new())));
                 let vm = *vm;
-                self.vms[vm].up = true;
+                self.vms[vm].is_up = true;
                 self.vms[vm].executions.clear();
             }
         }
-        self.after_turn(node);
+        self.apply_effects(node);
         self.announce(node);
     }
 
-    /// Kills a process; what its disk had not synced is lost, but for `kept` writes.
-    pub fn kill(&mut self, node: usize, kept: usize) {
+    /// Kills a process; its disk loses all unsynced writes but the first `kept_writes`.
+    pub fn kill(&mut self, node: usize, kept_writes: usize) {
         self.nodes[node].paused = false;
-        self.nodes[node].waiting.clear();
+        self.nodes[node].deferred_events.clear();
         self.nodes[node].boot = 0;
         match &mut self.nodes[node].role {
             RoleCore::Control { core, disk, .. } => {
                 *core = None;
-                disk.crash(kept);
+                disk.crash(kept_writes);
             }
             RoleCore::Entry { core } => *core = None,
             RoleCore::Agent { core, .. } => *core = None,
@@ -267,25 +268,25 @@
         }
     }
 
-    /// Kills a whole VM: its agent, its tasks and its endpoint.
+    /// Kills a VM with its agent, tasks and endpoint.
     pub fn kill_vm(&mut self, node: usize) {
         self.kill(node, 0);
         if let RoleCore::Agent { vm, .. } = self.nodes[node].role {
             let vm = &mut self.vms[vm];
-            vm.up = false;
-            vm.worker = boundless_worker();
+            vm.is_up = false;
+            vm.worker = unlimited_worker();
             vm.executions.clear();
         }
     }
 
-    /// Restarts a VM's worker alone: its tasks are gone, its agent goes on.
+    /// Restarts only the worker of a VM: its tasks are lost, its agent keeps running.
     pub fn restart_worker(&mut self, node: usize) {
         if let RoleCore::Agent { vm, .. } = self.nodes[node].role {
-            self.vms[vm].worker = boundless_worker();
+            self.vms[vm].worker = unlimited_worker();
         }
     }
 
-    /// Loses a control member's disk, and starts it under a new identity.
+    /// Erases a control member's disk and starts it under a new member id.
     pub fn lose_disk(&mut self, node: usize) -> Member {
         self.kill(node, 0);
         self.next_member += 1;
@@ -304,35 +305,35 @@
 
     pub fn resume(&mut self, node: usize) {
         self.nodes[node].paused = false;
-        for event in std::mem::take(&mut self.nodes[node].waiting) {
+        for event in std::mem::take(&mut self.nodes[node].deferred_events) {
             self.push(0, event);
         }
         let boot = self.nodes[node].boot;
         self.push(0, Event::Tick { node, boot });
     }
 
-    /// Lets virtual time pass.
+    /// Advances virtual time and handles the events due.
     pub fn run(&mut self, duration_ms: u64) {
         let end_ms = self.now_ms + duration_ms;
         while let Some(Reverse((at_ms, _, _))) = self.queue.peek()
             && *at_ms <= end_ms
         {
-            let Some(Reverse((at_ms, _, EventBox(event)))) = self.queue.pop() else { break };
+            let Some(Reverse((at_ms, _, UnorderedEvent(event)))) = self.queue.pop() else { break };
             self.now_ms = self.now_ms.max(at_ms);
             self.handle(event);
-            self.look_at_workers();
+            self.check_workers();
         }
         self.now_ms = end_ms;
-        self.look_at_workers();
+        self.check_workers();
     }
 
     pub fn leader(&self) -> Option<usize> {
         let now = self.now();
-        let leads = |node: &usize| match &self.nodes[*node].role {
+        let is_leader = |node: &usize| match &self.nodes[*node].role {
             RoleCore::Control { core: Some(core), .. } => core.raft().has_lease(now),
             _ => false,
         };
-        self.controls.iter().copied().find(leads)
+        self.controls.iter().copied().find(is_leader)
     }
 
     pub fn control(&self, node: usize) -> Option<&ControlCore> {
@@ -342,8 +343,8 @@
         }
     }
 
-    /// Sends a quick request, where the entry is there to take it.
-    pub fn quick(&mut self, entry: usize, body: &str, key: Option<&str>, deadline_ms: u32) {
+    /// Sends a quick request, unless the entry is down or paused.
+    pub fn send_quick(&mut self, entry: usize, body: &str, key: Option<&str>, deadline_ms: u32) {
         if !self.is_up(entry) || self.nodes[entry].paused {
             return;
         }
@@ -355,34 +356,34 @@
             key: key.map(CompactString::from),
             body: body.as_bytes().to_vec(),
         };
-        let token = self.next_token(Asked::Quick);
+        let token = self.next_token(PendingRequest::Quick);
         let record = QuickRecord {
             body: body.to_owned(),
             key: key.map(CompactString::from),
             answer: None,
             entry,
-            asked_ms: self.now_ms,
+            sent_ms: self.now_ms,
         };
-        self.history.quicks.insert(token, record);
-        self.ask(entry, token, CallerRequest::Quick(quick));
+        self.history.quick_requests.insert(token, record);
+        self.send_request(entry, token, CallerRequest::Quick(quick));
     }
 
     pub fn submit(&mut self, entry: usize, key: &str, spec: JobSpec) {
-        let token = self.next_token(Asked::Submit(spec.tasks));
+        let token = self.next_token(PendingRequest::Submit(spec.tasks));
         self.history.submitted += 1;
-        self.ask(entry, token, CallerRequest::Submit { key: key.into(), spec });
+        self.send_request(entry, token, CallerRequest::Submit { key: key.into(), spec });
     }
 
     pub fn cancel(&mut self, entry: usize, jobs: Vec<JobId>) {
-        let token = self.next_token(Asked::Cancel);
+        let token = self.next_token(PendingRequest::Cancel);
         self.history.cancelled.extend(jobs.iter().copied());
-        self.ask(entry, token, CallerRequest::Cancel(jobs));
+        self.send_request(entry, token, CallerRequest::Cancel(jobs));
     }
 
-    /// Sends a request of any other kind.
-    pub fn ask_other(&mut self, entry: usize, request: CallerRequest) {
-        let token = self.next_token(Asked::Other);
-        self.ask(entry, token, request);
+    /// Sends a request whose answer is not recorded.
+    pub fn send_other(&mut self, entry: usize, request: CallerRequest) {
+        let token = self.next_token(PendingRequest::Other);
+        self.send_request(entry, token, request);
     }
 
     pub fn change(
@@ -394,25 +395,25 @@
     ) -> usize {
         let index = self.history.changes.len();
         self.history.changes.push(ChangeRecord { based_on, key: key.into(), outcome: None });
-        let token = self.next_token(Asked::Change(index));
+        let token = self.next_token(PendingRequest::Change(index));
         let command = ConfigureCommand { based_on, key: key.into(), operator: "op".into(), change };
-        self.operate(control, token, Operation::Propose(Command::Configure(command)));
+        self.send_operation(control, token, Operation::Propose(Command::Configure(command)));
         index
     }
 
-    /// Asks a control process for an operation whose outcome nobody looks at.
-    pub fn operation(&mut self, control: usize, operation: Operation) {
-        let token = self.next_token(Asked::Other);
-        self.operate(control, token, operation);
+    /// Sends an operation to a control process; its outcome is not recorded.
+    pub fn request_operation(&mut self, control: usize, operation: Operation) {
+        let token = self.next_token(PendingRequest::Other);
+        self.send_operation(control, token, operation);
     }
 
-    pub fn leave(&mut self, agent: usize) {
+    pub fn leave_endpoint(&mut self, agent: usize) {
         let RoleCore::Agent { vm, .. } = self.nodes[agent].role else { return };
-        self.vms[vm].announces = self.sabotage == Some(Sabotage::LeaveUnheard);
+        self.vms[vm].is_announcing = self.sabotage == Some(Sabotage::LeaveUnheard);
         if !self.is_up(agent) {
             return;
         }
-        self.history.left.insert(vm, self.now_ms);
+        self.history.left_ms_by_vm.insert(vm, self.now_ms);
         if self.sabotage != Some(Sabotage::LeaveUnheard) {
             self.input_agent(
                 agent,
@@ -421,21 +422,21 @@
         }
     }
 
-    pub fn come_back(&mut self, agent: usize) {
+    pub fn announce_again(&mut self, agent: usize) {
         let RoleCore::Agent { vm, .. } = self.nodes[agent].role else { return };
-        self.history.left.remove(&vm);
-        self.vms[vm].announces = true;
+        self.history.left_ms_by_vm.remove(&vm);
+        self.vms[vm].is_announcing = true;
         self.announce(agent);
     }
 
     /// Begins a planned stop of a process.
-    pub fn stop(&mut self, node: usize) {
+    pub fn begin_stop(&mut self, node: usize) {
         self.input_entry(node, entry::Input::Stop);
         self.input_agent(node, agent::Input::Stop);
         self.input_control(node, control::Input::Stop);
     }
 
-    /// Returns whether a process in a planned stop may end.
+    /// Returns whether a stopping process may end.
     pub fn is_drained(&self, node: usize) -> bool {
         match &self.nodes[node].role {
             RoleCore::Entry { core } => core.as_ref().is_none_or(|it| it.is_drained()),
@@ -444,18 +445,18 @@
         }
     }
 
-    fn next_token(&mut self, asked: Asked) -> u64 {
+    fn next_token(&mut self, pending: PendingRequest) -> u64 {
         self.next_token += 1;
         self.history.operations += 1;
-        self.tokens.insert(self.next_token, asked);
+        self.pending_requests.insert(self.next_token, pending);
         self.next_token
     }
 
-    fn ask(&mut self, entry: usize, token: u64, request: CallerRequest) {
+    fn send_request(&mut self, entry: usize, token: u64, request: CallerRequest) {
         self.input_entry(entry, entry::Input::Request { token, team: "team".into(), request });
     }
 
-    fn operate(&mut self, control: usize, token: u64, operation: Operation) {
+    fn send_operation(&mut self, control: usize, token: u64, operation: Operation) {
         let deadline_ms = self.now_ms + 8_000;
         self.input_control(control, control::Input::Operation { token, operation, deadline_ms });
     }
@@ -463,7 +464,7 @@
     fn announce(&mut self, node: usize) {
         let RoleCore::Agent { vm, core: Some(_) } = &self.nodes[node].role else { return };
         let vm = *vm;
-        if self.vms[vm].up && self.vms[vm].announces && !self.nodes[node].paused {
+        if self.vms[vm].is_up && self.vms[vm].is_announcing && !self.nodes[node].paused {
             let address = executor_address(vm);
             let announcement =
                 Announcement { class: "quick".into(), address, slots: 4, connections: 60 };
@@ -473,7 +474,7 @@
 
     fn push(&mut self, delay_ms: u64, event: Event) {
         self.sequence += 1;
-        self.queue.push(Reverse((self.now_ms + delay_ms, self.sequence, EventBox(event))));
+        self.queue.push(Reverse((self.now_ms + delay_ms, self.sequence, UnorderedEvent(event))));
     }
 
     fn handle(&mut self, event: Event) {
@@ -485,13 +486,13 @@
             | Event::Tick { node, boot } => (*node, *boot),
         };
         if let Event::Executed { node, id, .. } = event {
-            return self.executed(node, boot, id);
+            return self.finish_execution(node, boot, id);
         }
         if self.nodes[node].boot != boot || boot == 0 {
             return;
         }
         if self.nodes[node].paused {
-            return self.nodes[node].waiting.push(event);
+            return self.nodes[node].deferred_events.push(event);
         }
         match event {
             Event::Deliver { from, in_force, message, .. } => {
@@ -508,7 +509,7 @@
             }
             Event::Synced { number, .. } => {
                 if let RoleCore::Control { disk, .. } = &mut self.nodes[node].role {
-                    if disk.stuck {
+                    if disk.has_failed {
                         return;
                     }
                     disk.sync(number);
@@ -536,7 +537,7 @@
         }
         if let RoleCore::Entry { core: Some(core) } = &mut self.nodes[node].role {
             core.handle(now, input);
-            self.after_turn(node);
+            self.apply_effects(node);
         }
     }
 
@@ -547,7 +548,7 @@
         }
         if let RoleCore::Agent { core: Some(core), .. } = &mut self.nodes[node].role {
             core.handle(now, input);
-            self.after_turn(node);
+            self.apply_effects(node);
         }
     }
 
@@ -558,7 +559,7 @@
         }
         if let RoleCore::Control { core: Some(core), .. } = &mut self.nodes[node].role {
             core.handle(now, input).unwrap();
-            self.after_turn(node);
+            self.apply_effects(node);
         }
     }
 }
@@ -571,8 +572,8 @@
     SocketAddr::from(([10, 1, 0, vm as u8 + 1], 8_000))
 }
 
-/// A worker that takes whatever it is told to: whether a VM is overfilled is for the checker.
-fn boundless_worker() -> WorkerModel {
+/// Returns a worker that accepts every start, so that only the checker enforces VM capacity.
+fn unlimited_worker() -> WorkerModel {
     let capacity =
         Resources { cpu_millicores: u32::MAX, memory_mib: u32::MAX, accelerators: u32::MAX };
     WorkerModel::new(capacity)
--- a/tests/promises/world/settings.rs
+++ b/tests/promises/world/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the cores, with times short enough for a test.
+//! Settings of the cores, with timeouts short enough for tests.
 
 use aspenrail::{
     prelude::*,
