--- a/src/agent/core/mod.rs
+++ b/src/agent/core/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     agent::{
-        endpoints::{Announcement, Endpoints, ExecutionId, ExecutorCall, ExecutorResult},
+        endpoints::{Announcement, EndpointCall, EndpointResult, Endpoints, ExecutionId},
         seen_attempts::{AttemptId, SeenAttempts},
         tasks::{Tasks, WorkerCall, WorkerResult},
     },
@@ -57,7 +57,7 @@
     },
     Executor {
         execution: ExecutionId,
-        result: ExecutorResult,
+        result: EndpointResult,
     },
     /// An endpoint announced itself, or renewed its announcement.
     Announce {
@@ -79,7 +79,7 @@
 pub enum Effect {
     Send { to: SocketAddr, message: Message },
     Worker(WorkerCall),
-    Call(ExecutorCall),
+    CallEndpoint(EndpointCall),
     Answer { token: u64, outcome: ReplyResult },
 }
 
--- a/src/agent/core/requests.rs
+++ b/src/agent/core/requests.rs
@@ -5,7 +5,7 @@
 use crate::{
     agent::{
         core::{AgentCore, Effect, Execution},
-        endpoints::{ExecutionId, ExecutorCall, ExecutorResult, QueuedRequest},
+        endpoints::{EndpointCall, EndpointResult, ExecutionId, QueuedRequest},
         seen_attempts::{AttemptId, AttemptOutcome},
     },
     prelude::*,
@@ -92,7 +92,7 @@
                 started_ms: now.mono_ms,
             };
             self.executions.insert(execution, record);
-            self.effects.push(Effect::Call(ExecutorCall {
+            self.effects.push(Effect::CallEndpoint(EndpointCall {
                 execution,
                 address,
                 request: execute.request,
@@ -152,7 +152,7 @@
         self.send(to, Message::ExecuteReply(reply));
     }
 
-    pub(super) fn on_executor(&mut self, now: Now, id: ExecutionId, result: ExecutorResult) {
+    pub(super) fn on_executor(&mut self, now: Now, id: ExecutionId, result: EndpointResult) {
         let Some(execution) = self.executions.remove(&id) else { return };
         let answer_ms = now.mono_ms.saturating_sub(execution.started_ms);
         if let Some(endpoint) = self.endpoints.get_mut(execution.endpoint.number) {
@@ -160,7 +160,7 @@
             endpoint.note_answer(answer_ms);
         }
         let outcome = match result {
-            ExecutorResult::Answered { status, content_type, body } => {
+            EndpointResult::Answered { status, content_type, body } => {
                 ExecuteOutcome::Answered(Answer {
                     status,
                     content_type,
@@ -168,8 +168,8 @@
                     body: serde_bytes::ByteBuf::from(body),
                 })
             }
-            ExecutorResult::NotSent(_) => ExecuteOutcome::Refused(ErrorKind::NoEndpoint),
-            ExecutorResult::Failed(reason) => ExecuteOutcome::Failed(reason),
+            EndpointResult::NotSent(_) => ExecuteOutcome::Refused(ErrorKind::NoEndpoint),
+            EndpointResult::Failed(reason) => ExecuteOutcome::Failed(reason),
         };
         if let ExecuteOutcome::Refused(kind) = outcome {
             self.metrics.count_refusal(kind);
--- a/src/agent/endpoints.rs
+++ b/src/agent/endpoints.rs
@@ -29,7 +29,7 @@
 
 /// A call to an endpoint, made by the HTTP adapter.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ExecutorCall {
+pub struct EndpointCall {
     pub execution: ExecutionId,
     pub address: SocketAddr,
     pub request: RequestId,
@@ -40,7 +40,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum ExecutorResult {
+pub enum EndpointResult {
     Answered {
         status: u16,
         content_type: CompactString,
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -10,6 +10,6 @@
 
 pub use self::{
     core::{AgentCore, AgentOptions, Effect, Input},
-    endpoints::{Announcement, ExecutionId, ExecutorCall, ExecutorResult},
+    endpoints::{Announcement, EndpointCall, EndpointResult, ExecutionId},
     tasks::{WorkerCall, WorkerReport, WorkerResult, WorkerTask},
 };
--- a/src/bench/batch.rs
+++ b/src/bench/batch.rs
@@ -12,7 +12,7 @@
     },
     policy::task_queue::RankingRule,
     prelude::*,
-    util::Place,
+    util::GroupId,
 };
 
 const WALL_MS: u64 = 1_700_000_000_000;
@@ -222,7 +222,7 @@
 
 impl Simulation {
     fn new(seed: u64, mix: Mix, variant: Variant) -> Simulation {
-        let state = State::new(Place { region: 1, group: 1 });
+        let state = State::new(GroupId { region: 1, group: 1 });
         let options = match variant {
             Variant::Configured(it) => it,
             _ => SchedulerOptions::default(),
--- a/src/bench/capacity.rs
+++ b/src/bench/capacity.rs
@@ -12,10 +12,10 @@
     link::encode_frame,
     prelude::*,
     schema::settings::ControlSettings,
-    util::Place,
+    util::GroupId,
 };
 
-const GROUP_ID: Place = Place { region: 1, group: 1 };
+const GROUP_ID: GroupId = GroupId { region: 1, group: 1 };
 const WALL_MS: u64 = 1_700_000_000_000;
 
 /// CPU of a VM: more than the tasks that the largest case places on one.
--- a/src/bench/commits.rs
+++ b/src/bench/commits.rs
@@ -5,7 +5,7 @@
 use crate::{
     control::log::{Disk, DiskWrite, Identity, Raft, RaftOptions, RecoveredState},
     prelude::*,
-    util::{Clock, Place},
+    util::{Clock, GroupId},
 };
 
 /// Writes `commits` commands of `bytes` each at every batch size; prints a line for each size.
@@ -60,7 +60,7 @@
 }
 
 fn create(folder: &Path) -> Result<Disk> {
-    let group_id = Place { region: 1, group: 1 };
+    let group_id = GroupId { region: 1, group: 1 };
     let identity = Identity { member: MemberId(1), group_id, founders: Vec::new() };
     identity.create(folder)?;
     Ok(Disk::open(folder, &identity, 0)?.0)
--- a/src/bench/dispatch.rs
+++ b/src/bench/dispatch.rs
@@ -259,7 +259,7 @@
             running: running.collect(),
             ended: Vec::new(),
             refused: Vec::new(),
-            noted: NotedEnds::NONE,
+            noted: NotedEnds::NO_ACKNOWLEDGEMENTS,
             roles_missing: false,
             faded: Vec::new(),
         }
--- a/src/cli/dev.rs
+++ b/src/cli/dev.rs
@@ -15,7 +15,7 @@
     prelude::*,
     runtime::{Process, ProcessHandle},
     standin::{
-        executor::{ExecutorOptions, Seen, start_executor},
+        executor::{EndpointState, ExecutorOptions, start_executor},
         layout::{Counts, Layout, OPERATOR_TOKEN, TEAM_TOKEN, read_settings},
         load::{LoadOptions, run_load},
         worker::start_worker,
@@ -74,7 +74,7 @@
 /// The processes of an installation, as threads.
 pub(super) struct Running {
     processes: Vec<(ProcessHandle, thread::JoinHandle<()>)>,
-    pub executors: Vec<Arc<Seen>>,
+    pub executors: Vec<Arc<EndpointState>>,
 }
 
 impl Running {
--- a/src/cli/roles.rs
+++ b/src/cli/roles.rs
@@ -8,7 +8,7 @@
     control::log::Identity,
     prelude::*,
     runtime::{ExitReason, Process, forward_signals},
-    util::Place,
+    util::GroupId,
 };
 
 const RUN_HELP: &str = "\
@@ -83,7 +83,7 @@
         .map_err(|it| Failure::Usage(format!("cannot create {}: {it}", folder.display())))?;
     let settings = load_settings(&path).map_err(Failure::Settings)?;
     let group_id =
-        Place { region: settings.process.region as u8, group: settings.process.group as u8 };
+        GroupId { region: settings.process.region as u8, group: settings.process.group as u8 };
     let identity = match (is_joining, member) {
         (true, None) if founders.is_empty() => Identity {
             member: MemberId(fastrand::u64(1 << 20..1 << 53)),
--- a/src/control/core/event_logging.rs
+++ b/src/control/core/event_logging.rs
@@ -63,7 +63,8 @@
         }
         WorkflowCommand::Resize(it) => {
             let worker = state.workflows.workers().get(it.worker);
-            let (name, used) = worker.map(|it| (it.name.as_str(), it.used.cpu_millicores)).unzip();
+            let (name, used) =
+                worker.map(|it| (it.name.as_str(), it.reserved.cpu_millicores)).unzip();
             tracing::info!(
                 event = "worker_resized",
                 worker = name,
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -25,7 +25,7 @@
     },
     prelude::*,
     schema::settings::ControlSettings,
-    util::Place,
+    util::GroupId,
 };
 
 /// Interval at which the leader checks for expired leases and makes plans.
@@ -42,7 +42,7 @@
 
 #[derive(Clone, Debug)]
 pub struct ControlOptions {
-    pub group_id: Place,
+    pub group_id: GroupId,
     pub member: MemberId,
     /// Address at which other processes reach this one.
     pub address: SocketAddr,
--- a/src/control/dispatch/capacity.rs
+++ b/src/control/dispatch/capacity.rs
@@ -129,7 +129,7 @@
             service: worker.service.clone(),
             kind: worker.kind.clone(),
             rack: worker.rack.clone(),
-            free: subtract(worker.capacity, worker.used),
+            free: subtract(worker.capacity, worker.reserved),
             capacity_millicores: worker.capacity.cpu_millicores,
             fillers: Vec::new(),
             filler_millicores: worker.filler_millicores,
--- a/src/control/dispatch/lost_workers.rs
+++ b/src/control/dispatch/lost_workers.rs
@@ -87,7 +87,7 @@
     /// A node that fails along with its worker sends no final report. When such failures lapsed
     /// too, a task of three allowed attempts began a fourth time after a power loss of all VMs.
     fn settle_after_final_report(&mut self, workflows: &Workflows, id: WorkerId, loss: LossCause) {
-        let lapsed = workflows.unsettled_failures_on(id);
+        let lapsed = workflows.unsettled_failed_runs_on(id);
         if matches!(loss, LossCause::Crashed | LossCause::Left) && !lapsed.is_empty() {
             let settle = SettleFailures { counted: Vec::new(), lapsed };
             self.output.commands.push(WorkflowCommand::Settle(settle));
--- a/src/control/dispatch/mod.rs
+++ b/src/control/dispatch/mod.rs
@@ -343,7 +343,7 @@
             }
         }
         for it in &report.faded {
-            let image = self.contention.image(&it.image);
+            let image = self.contention.image_key(&it.image);
             fillers.push(FillerLoad { image, cores: cores(it.cpu_millicores) });
         }
         if let Some(worker) = workflows.workers().get(id) {
@@ -405,9 +405,9 @@
         workflows = workflows.active().count(),
         runs = workers().map(|it| it.runs.len()).sum::<usize>(),
         cores = cores(|it| it.capacity.cpu_millicores),
-        reserved_cores = cores(|it| it.used.cpu_millicores),
+        reserved_cores = cores(|it| it.reserved.cpu_millicores),
         filler_cores = cores(|it| it.filler_millicores),
         memory_gib = memory_gib(|it| it.capacity.memory_mib),
-        reserved_gib = memory_gib(|it| it.used.memory_mib),
+        reserved_gib = memory_gib(|it| it.reserved.memory_mib),
     );
 }
--- a/src/control/dispatch/orders.rs
+++ b/src/control/dispatch/orders.rs
@@ -323,7 +323,7 @@
 ) -> Vec<RunOrder> {
     let ended: HashSet<_> = report.ended.iter().map(|it| it.end.run).collect();
     // Runs placed on a worker whose capacity has shrunk since may no longer fit.
-    let may_not_begin = workflows.is_evacuated(id) || !fits(worker.used, worker.capacity);
+    let may_not_begin = workflows.is_evacuated(id) || !fits(worker.reserved, worker.capacity);
     let mut res = Vec::new();
     for run in &worker.runs {
         match session.monitored_runs.contains_key(run) {
--- a/src/control/dispatch/plan/mod.rs
+++ b/src/control/dispatch/plan/mod.rs
@@ -135,7 +135,7 @@
 /// Returns whether so little processor is reserved that no workflow may be kept idle.
 fn is_lightly_reserved(workflows: &Workflows, free_capacities: &[&mut FreeCapacity]) -> bool {
     let workers = || free_capacities.iter().filter_map(|it| workflows.workers().get(it.id));
-    let used: u64 = workers().map(|it| u64::from(it.used.cpu_millicores)).sum();
+    let used: u64 = workers().map(|it| u64::from(it.reserved.cpu_millicores)).sum();
     let capacity: u64 = workers().map(|it| u64::from(it.capacity.cpu_millicores)).sum();
     used * 100 <= capacity * IDLE_RESERVED_MAX_PERCENT
 }
--- a/src/control/dispatch/run_monitor.rs
+++ b/src/control/dispatch/run_monitor.rs
@@ -25,11 +25,11 @@
     pub(super) fn of(step: &WorkflowStep, contention: &mut ContentionModel) -> RunKind {
         match step.filler {
             true => RunKind::Filler {
-                image: contention.image(&step.image),
+                image: contention.image_key(&step.image),
                 millicores: step.need.cpu_millicores,
             },
             false if 0 < step.tail_target_ms => RunKind::Serving {
-                image: contention.image(&step.image),
+                image: contention.image_key(&step.image),
                 target_ms: step.tail_target_ms,
             },
             false => RunKind::Plain,
--- a/src/control/log/disk.rs
+++ b/src/control/log/disk.rs
@@ -16,7 +16,7 @@
 use crate::{
     control::log::record::{self, DiskWrite, HardState, LogTail, Record, RecoveredState, Snapshot},
     prelude::*,
-    util::{Place, checksum},
+    util::{GroupId, checksum},
 };
 
 const IDENTITY_FORMAT: u32 = 1;
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Identity {
     pub member: MemberId,
-    pub group_id: Place,
+    pub group_id: GroupId,
     /// Founding members; empty for a member that joins a running group.
     pub founders: Vec<Member>,
 }
@@ -99,9 +99,9 @@
     /// # Errors
     ///
     /// Returns an error when the folder cannot be read or written.
-    pub fn read_or_make(
+    pub fn read_or_create(
         folder: &Path,
-        group_id: Place,
+        group_id: GroupId,
         own: std::net::SocketAddr,
         founders: &[std::net::SocketAddr],
     ) -> Result<Identity> {
@@ -158,7 +158,7 @@
                 address.parse().map_err(|_| invalid_identity(&path, "founders", founder))?;
             founders.push(Member { id: MemberId(id), address });
         }
-        let group_id = Place { region: number("region")? as u8, group: number("group")? as u8 };
+        let group_id = GroupId { region: number("region")? as u8, group: number("group")? as u8 };
         Ok(Identity { member: MemberId(number("member")?), group_id, founders })
     }
 }
--- a/src/control/scheduler/mod.rs
+++ b/src/control/scheduler/mod.rs
@@ -241,7 +241,7 @@
                 }
                 self.evicting.remove(&id);
                 if self.throttles.remove(&id).is_some() {
-                    self.feedback_loops.values_mut().for_each(|it| it.forget(id));
+                    self.feedback_loops.values_mut().for_each(|it| it.remove(id));
                 }
             }
             _ => (),
--- a/src/control/state/jobs.rs
+++ b/src/control/state/jobs.rs
@@ -9,7 +9,7 @@
         vms::{self, fits},
     },
     prelude::*,
-    util::Place,
+    util::GroupId,
 };
 
 /// Maximum number of tasks in a job, so that one command is applied quickly.
@@ -107,7 +107,7 @@
         }
     }
 
-    fn accept(&mut self, group_id: Place, command: &SubmitCommand, time_ms: u64) -> JobId {
+    fn accept(&mut self, group_id: GroupId, command: &SubmitCommand, time_ms: u64) -> JobId {
         self.last_job_index += 1;
         let id = JobId(group_id.pack(self.last_job_index));
         let first_task = TaskId(group_id.pack(self.last_task_index + 1));
--- a/src/control/state/mod.rs
+++ b/src/control/state/mod.rs
@@ -15,7 +15,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{prelude::*, util::Place};
+use crate::{prelude::*, util::GroupId};
 
 pub use self::{
     claims::Claims,
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct State {
     #[serde(rename = "place")]
-    group_id: Place,
+    group_id: GroupId,
     index: u64,
     time_ms: u64,
     pub configuration: Configuration,
@@ -64,7 +64,7 @@
 
 impl State {
     /// Creates the state before the first command.
-    pub fn new(group_id: Place) -> State {
+    pub fn new(group_id: GroupId) -> State {
         State {
             group_id,
             index: 0,
--- a/src/control/state/watches.rs
+++ b/src/control/state/watches.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::{control::state::ReplyResult, prelude::*, util::Place};
+use crate::{control::state::ReplyResult, prelude::*, util::GroupId};
 
 /// A durable subscription.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
@@ -78,7 +78,11 @@
         self.published.len()
     }
 
-    pub(super) fn create(&mut self, group_id: Place, command: &CreateWatchCommand) -> ReplyResult {
+    pub(super) fn create(
+        &mut self,
+        group_id: GroupId,
+        command: &CreateWatchCommand,
+    ) -> ReplyResult {
         let key = (command.team.clone(), command.key.clone());
         if let Some(&id) = self.by_key.get(&key) {
             return match self.watches.get(&id).is_some_and(|watch| watch.subject == command.subject)
--- a/src/control/state/workflows/failures.rs
+++ b/src/control/state/workflows/failures.rs
@@ -124,7 +124,7 @@
 
 impl NotedEnds {
     /// The worker has not reported any acknowledgements yet.
-    pub const NONE: NotedEnds =
+    pub const NO_ACKNOWLEDGEMENTS: NotedEnds =
         NotedEnds { noted_cursor: 0, lapsed_after_cursor: 0, lapsed_cursor: 0 };
 
     /// Returns whether the worker received the acknowledgement of the end at `cursor` within the
--- a/src/control/state/workflows/index.rs
+++ b/src/control/state/workflows/index.rs
@@ -100,5 +100,5 @@
     };
     !state.is_done()
         && state.tasks.iter().any(|it| !it.is_done && it.runs.is_empty())
-        && workflow.is_step_ready(occurrence, step)
+        && workflow.are_prerequisites_done(occurrence, step)
 }
--- a/src/control/state/workflows/mod.rs
+++ b/src/control/state/workflows/mod.rs
@@ -132,7 +132,7 @@
     }
 
     /// Returns the failed runs on a worker that are not settled.
-    pub fn unsettled_failures_on(&self, worker: WorkerId) -> Vec<RunRef> {
+    pub fn unsettled_failed_runs_on(&self, worker: WorkerId) -> Vec<RunRef> {
         self.failures.runs_on(worker)
     }
 
--- a/src/control/state/workflows/workers.rs
+++ b/src/control/state/workflows/workers.rs
@@ -22,8 +22,9 @@
     pub rack: CompactString,
     pub capacity: Resources,
     /// Sum of the reservations of its runs.
-    pub used: Resources,
-    /// CPU that its best-effort tasks (fillers) would use, in addition to `used`.
+    #[serde(rename = "used")]
+    pub reserved: Resources,
+    /// CPU that its best-effort tasks (fillers) would use, in addition to `reserved`.
     pub filler_millicores: u32,
     pub runs: BTreeSet<RunRef>,
     /// Run ends up to this cursor are recorded.
@@ -33,19 +34,19 @@
 impl Worker {
     /// Returns whether `need` fits into the capacity that is not reserved.
     pub fn has_capacity_for(&self, need: Resources) -> bool {
-        fits(add(self.used, need), self.capacity)
+        fits(add(self.reserved, need), self.capacity)
     }
 
     pub(super) fn add(&mut self, run: RunRef, step: &WorkflowStep) {
         if self.runs.insert(run) {
-            self.used = add(self.used, reservation_of(step));
+            self.reserved = add(self.reserved, reservation_of(step));
             self.filler_millicores += filler_millicores(step);
         }
     }
 
     pub(super) fn remove(&mut self, run: RunRef, step: &WorkflowStep) {
         if self.runs.remove(&run) {
-            self.used = subtract(self.used, reservation_of(step));
+            self.reserved = subtract(self.reserved, reservation_of(step));
             self.filler_millicores -= filler_millicores(step);
         }
     }
@@ -126,7 +127,7 @@
             kind: registration.kind.clone(),
             rack: registration.rack.clone(),
             capacity: registration.capacity,
-            used: NO_RESOURCES,
+            reserved: NO_RESOURCES,
             filler_millicores: 0,
             runs: BTreeSet::new(),
             cursor: 0,
--- a/src/control/state/workflows/workflow.rs
+++ b/src/control/state/workflows/workflow.rs
@@ -117,7 +117,7 @@
     }
 
     /// Returns whether all steps that a step waits for are done.
-    pub fn is_step_ready(&self, occurrence: &Occurrence, step: &WorkflowStep) -> bool {
+    pub fn are_prerequisites_done(&self, occurrence: &Occurrence, step: &WorkflowStep) -> bool {
         step.after
             .iter()
             .all(|it| occurrence.steps.get(*it as usize).is_some_and(StepState::is_done))
--- a/src/entry/core/mod.rs
+++ b/src/entry/core/mod.rs
@@ -169,7 +169,7 @@
     }
 
     /// Returns the number of unfinished quick requests.
-    pub fn in_flight(&self) -> usize {
+    pub fn unfinished_requests(&self) -> usize {
         self.pending_requests.len()
     }
 
--- a/src/entry/endpoints.rs
+++ b/src/entry/endpoints.rs
@@ -128,7 +128,7 @@
     ) -> Option<EndpointKey> {
         let mut sample_indices = std::mem::take(&mut self.sample_indices);
         let keys = self.keys_of_class(class);
-        routing::sample(keys.len(), random, &mut sample_indices);
+        routing::sample_indices(keys.len(), random, &mut sample_indices);
         let admitting = |key: &EndpointKey| {
             let it = self.endpoints.get(*key)?;
             (it.admits(now) && !tried_endpoints.contains(&it.id)).then(|| (*key, it.view(now)))
@@ -142,7 +142,7 @@
             candidates = scan.filter_map(admitting).take(routing::SAMPLES).collect();
         }
         let views: Vec<_> = candidates.iter().map(|(_, it)| *it).collect();
-        let res = routing::best_of(&views).map(|index| candidates[index].0);
+        let res = routing::index_of_best(&views).map(|index| candidates[index].0);
         self.sample_indices = sample_indices;
         res
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -13,7 +13,7 @@
 pub struct GatewayOptions {
     /// Address at which other processes reach this one.
     pub address: SocketAddr,
-    pub controls: Vec<SocketAddr>,
+    pub control_addresses: Vec<SocketAddr>,
     /// Random number of this process, from which its calls are numbered.
     pub boot: u64,
     /// Time after which an unanswered call is sent to the next control process.
@@ -146,7 +146,7 @@
     /// Returns a gateway that knows no leader yet.
     pub fn new(options: GatewayOptions) -> GatewayCore {
         GatewayCore {
-            leader_finder: LeaderFinder::new(options.controls.clone(), options.boot),
+            leader_finder: LeaderFinder::new(options.control_addresses.clone(), options.boot),
             calls: BTreeMap::new(),
             next_id: options.boot,
             leader_confirmed_ms: None,
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -6,7 +6,7 @@
 use ureq::Agent;
 
 use crate::{
-    agent::{ExecutorCall, ExecutorResult, WorkerCall, WorkerReport, WorkerResult},
+    agent::{EndpointCall, EndpointResult, WorkerCall, WorkerReport, WorkerResult},
     prelude::*,
 };
 
@@ -33,7 +33,7 @@
 }
 
 /// Calls an endpoint.
-pub fn call_executor(client: &Agent, call: &ExecutorCall) -> ExecutorResult {
+pub fn call_executor(client: &Agent, call: &EndpointCall) -> EndpointResult {
     let result = client
         .post(format!("http://{}{}", call.address, call.path))
         .header("Aspenrail-Request", format!("{:x}-{}", call.request.boot, call.request.number))
@@ -45,9 +45,9 @@
     let mut response = match result {
         Ok(it) => it,
         Err(error) if was_not_sent(&error) => {
-            return ExecutorResult::NotSent(format_compact!("{error}"));
+            return EndpointResult::NotSent(format_compact!("{error}"));
         }
-        Err(error) => return ExecutorResult::Failed(format_compact!("{error}")),
+        Err(error) => return EndpointResult::Failed(format_compact!("{error}")),
     };
     let content_type = response
         .headers()
@@ -55,12 +55,12 @@
         .and_then(|it| it.to_str().ok())
         .map(CompactString::from);
     match response.body_mut().with_config().limit(ANSWER_MAX_BYTES).read_to_vec() {
-        Ok(body) => ExecutorResult::Answered {
+        Ok(body) => EndpointResult::Answered {
             status: response.status().as_u16(),
             content_type: content_type.unwrap_or_else(|| "application/octet-stream".into()),
             body,
         },
-        Err(error) => ExecutorResult::Failed(format_compact!("{error}")),
+        Err(error) => EndpointResult::Failed(format_compact!("{error}")),
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -23,7 +23,7 @@
 //! error kinds and the single table that maps a kind to its answer; [`metrics`] has counters and
 //! histograms.
 //!
-//! [`standin`] simulates endpoints and workers, [`bench`] measures performance, and [`cli`] is
+//! [`standin`] simulates endpoints and workers, [`mod@bench`] measures performance, and [`cli`] is
 //! the command line.
 //!
 //! DESIGN.md states which code keeps each guarantee, and which alternatives were considered;
--- a/src/link/server.rs
+++ b/src/link/server.rs
@@ -135,8 +135,10 @@
         ));
     }
     if (hello.region, hello.group) != (own_hello.region, own_hello.group) {
-        let group_id = (hello.region, hello.group);
-        return Err(format!("{} belongs to another region and group: {group_id:?}", hello.process));
+        return Err(format!(
+            "{} belongs to region {}, group {}, this process to region {}, group {}",
+            hello.process, hello.region, hello.group, own_hello.region, own_hello.group
+        ));
     }
     Ok(Some(hello))
 }
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -251,17 +251,17 @@
     }
 
     /// Counts a request about workflows that the gateway did not accept.
-    pub fn gateway_refused(&self, cause: RejectionCause) {
+    pub fn count_gateway_rejection(&self, cause: RejectionCause) {
         self.gateway_refusals.with_label_values(&[cause.as_str()]).inc();
     }
 
     /// Counts an ignored announcement of a worker.
-    pub fn announcement_passed_over(&self, cause: AnnouncementRejection) {
+    pub fn count_ignored_announcement(&self, cause: AnnouncementRejection) {
         self.announcements_passed_over.with_label_values(&[cause.as_str()]).inc();
     }
 
     /// Counts the end of a request in a gateway; `end` is one of [`GATEWAY_ENDS`].
-    pub fn gateway_answered(&self, end: &'static str, seconds: f64) {
+    pub fn observe_gateway_answer(&self, end: &'static str, seconds: f64) {
         self.gateway_answers.with_label_values(&[end]).observe(seconds);
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -29,7 +29,7 @@
 pub struct NodeOptions {
     /// Address under which other processes reach this one.
     pub address: SocketAddr,
-    pub controls: Vec<SocketAddr>,
+    pub control_addresses: Vec<SocketAddr>,
     /// Random number that identifies this start of the process.
     pub boot: u64,
     /// Interval of reports to the leader while no state changes.
@@ -119,7 +119,7 @@
     /// Creates a node that knows neither its worker nor a leader.
     pub fn new(options: NodeOptions) -> NodeCore {
         NodeCore {
-            leader_finder: LeaderFinder::new(options.controls.clone(), options.boot),
+            leader_finder: LeaderFinder::new(options.control_addresses.clone(), options.boot),
             term: 0,
             worker: None,
             unconfirmed: None,
--- a/src/node/worker.rs
+++ b/src/node/worker.rs
@@ -145,7 +145,7 @@
             ended: BTreeMap::new(),
             acked_cursor: 0,
             acked_cursor_received: 0,
-            noted: NotedEnds::NONE,
+            noted: NotedEnds::NO_ACKNOWLEDGEMENTS,
             failure_cursor: 0,
             sent_lease_until_ms: None,
             token: 0,
--- a/src/policy/contention/images.rs
+++ b/src/policy/contention/images.rs
@@ -38,7 +38,7 @@
 
 impl ImageTable {
     /// Returns the key of a name, and assigns one if it has none.
-    pub fn key(&mut self, name: &str) -> ImageKey {
+    pub fn key_or_insert(&mut self, name: &str) -> ImageKey {
         if let Some(it) = self.keys.get(name) {
             return *it;
         }
--- a/src/policy/contention/mod.rs
+++ b/src/policy/contention/mod.rs
@@ -126,7 +126,7 @@
     pub fn with_known_costs(costs: &[ImageCost], now_ms: u64) -> ContentionModel {
         let mut res = ContentionModel::default();
         for it in costs {
-            let (serving, filler) = (res.image(&it.serving), res.image(&it.filler));
+            let (serving, filler) = (res.image_key(&it.serving), res.image_key(&it.filler));
             let filter = res.filters.entry(serving).or_default();
             filter.set_known(filler, f64::from(it.headroom_percent), now_ms);
         }
@@ -134,8 +134,8 @@
     }
 
     /// Returns the key of an image, and assigns one if it has none.
-    pub fn image(&mut self, name: &str) -> ImageKey {
-        self.images.key(name)
+    pub fn image_key(&mut self, name: &str) -> ImageKey {
+        self.images.key_or_insert(name)
     }
 
     pub fn image_name(&self, key: ImageKey) -> &CompactString {
--- a/src/policy/feedback.rs
+++ b/src/policy/feedback.rs
@@ -76,7 +76,7 @@
     }
 
     /// Removes a task that no longer runs on the VM.
-    pub fn forget(&mut self, task: TaskId) {
+    pub fn remove(&mut self, task: TaskId) {
         if self.throttled == Some(task) {
             self.throttled = None;
         }
--- a/src/policy/preemption.rs
+++ b/src/policy/preemption.rs
@@ -12,13 +12,13 @@
     pub resources: Resources,
     /// Run time whose work is lost by an eviction.
     pub lost_run_ms: u64,
-    /// Whether its team is above its quota, and so borrows the capacity.
+    /// Whether its team is above its quota, so that its tasks use capacity beyond the quota.
     pub exceeds_quota: bool,
 }
 
 /// Chooses victims on one VM so that `need` fits into `free` plus the resources of the victims.
 ///
-/// Victims that borrow capacity come first, then those with the least lost work per freed
+/// Victims whose team is above its quota come first, then those with the least lost work per freed
 /// processor. Returns the victims and the lost run time in milliseconds, or `None` if evicting all
 /// of them would not free enough.
 ///
--- a/src/policy/routing.rs
+++ b/src/policy/routing.rs
@@ -44,13 +44,13 @@
 }
 
 /// Returns the index of the view with the least expected answer time.
-pub fn best_of(views: &[EndpointView]) -> Option<usize> {
+pub fn index_of_best(views: &[EndpointView]) -> Option<usize> {
     let scored = views.iter().enumerate().map(|(at, it)| (at, expected_ms(it)));
     scored.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(at, _)| at)
 }
 
 /// Fills `picked` with up to [`SAMPLES`] different random indices below `len`.
-pub fn sample(len: usize, random: &mut fastrand::Rng, picked: &mut Vec<usize>) {
+pub fn sample_indices(len: usize, random: &mut fastrand::Rng, picked: &mut Vec<usize>) {
     picked.clear();
     if len <= SAMPLES {
         picked.extend(0..len);
--- a/src/runtime/adapters.rs
+++ b/src/runtime/adapters.rs
@@ -5,7 +5,7 @@
 use crossbeam_channel::Sender;
 
 use crate::{
-    agent::{self, AgentCore, ExecutorCall, WorkerCall},
+    agent::{self, AgentCore, EndpointCall, WorkerCall},
     control::{self, ControlCore},
     entry::{self, EntryCore},
     http::{self, HttpAnswer, Pending},
@@ -67,26 +67,26 @@
 pub(super) struct AgentAdapter<W, E>
 where
     W: Fn(WorkerCall) + Send + Sync + 'static,
-    E: Fn(ExecutorCall) + Send + Sync + 'static,
+    E: Fn(EndpointCall) + Send + Sync + 'static,
 {
     pub sender: MessageSender,
     pub pending: Pending,
     pub metrics: Arc<Metrics>,
     /// A pool of one thread, so that calls reach the worker in order.
     pub worker: ThreadPool<WorkerCall, W>,
-    pub executors: ThreadPool<ExecutorCall, E>,
+    pub executors: ThreadPool<EndpointCall, E>,
 }
 
 impl<W, E> Adapter<AgentCore> for AgentAdapter<W, E>
 where
     W: Fn(WorkerCall) + Send + Sync + 'static,
-    E: Fn(ExecutorCall) + Send + Sync + 'static,
+    E: Fn(EndpointCall) + Send + Sync + 'static,
 {
     fn execute(&mut self, effect: agent::Effect, in_force: Revision) {
         match effect {
             agent::Effect::Send { to, message } => self.sender.send(to, in_force, message),
             agent::Effect::Worker(it) => self.worker.submit(it),
-            agent::Effect::Call(it) => self.executors.submit(it),
+            agent::Effect::CallEndpoint(it) => self.executors.submit(it),
             agent::Effect::Answer { token, outcome } => {
                 answer(&self.pending, &self.metrics, token, &outcome)
             }
@@ -162,9 +162,9 @@
 pub(super) fn executor_caller(
     threads: usize,
     events: Sender<Event>,
-) -> impl Fn(ExecutorCall) + Send + Sync + 'static {
+) -> impl Fn(EndpointCall) + Send + Sync + 'static {
     let client = http::client::new_client(threads);
-    move |call: ExecutorCall| {
+    move |call: EndpointCall| {
         let result = http::client::call_executor(&client, &call);
         let _ = events.send(Event::Agent(Box::new(agent::Input::Executor {
             execution: call.execution,
--- a/src/runtime/process.rs
+++ b/src/runtime/process.rs
@@ -34,7 +34,7 @@
         thread_pool::ThreadPool,
     },
     schema::settings::Settings,
-    util::{Clock, Place},
+    util::{Clock, GroupId},
 };
 
 /// Capacity of the event queue to the core thread; adapters block while it is full.
@@ -113,7 +113,7 @@
 struct Actors<W, E>
 where
     W: Fn(agent::WorkerCall) + Send + Sync + 'static,
-    E: Fn(agent::ExecutorCall) + Send + Sync + 'static,
+    E: Fn(agent::EndpointCall) + Send + Sync + 'static,
 {
     entry: Option<EntryActor>,
     agent: Option<ActorOwn<RoleActor<AgentCore, AgentAdapter<W, E>>>>,
@@ -199,12 +199,15 @@
         let folder = Path::new(settings.data_folder.as_str());
         let identity = Identity::read(folder)?;
         let process = &self.settings.process;
-        let group_id = Place { region: process.region as u8, group: process.group as u8 };
+        let group_id = GroupId { region: process.region as u8, group: process.group as u8 };
         if identity.group_id != group_id {
             let message = format_compact!(
-                "{} belongs to {:?}, the settings say {group_id:?}",
+                "{} belongs to region {}, group {}, the settings say region {}, group {}",
                 folder.display(),
-                identity.group_id
+                identity.group_id.region,
+                identity.group_id.group,
+                group_id.region,
+                group_id.group
             );
             return Err(Error::report(ErrorKind::BadRequest, message));
         }
@@ -220,7 +223,7 @@
     ) -> Result<
         Actors<
             impl Fn(agent::WorkerCall) + Send + Sync + 'static,
-            impl Fn(agent::ExecutorCall) + Send + Sync + 'static,
+            impl Fn(agent::EndpointCall) + Send + Sync + 'static,
         >,
     > {
         let mut statuses = Vec::new();
@@ -327,7 +330,7 @@
     ) -> ExitReason
     where
         W: Fn(agent::WorkerCall) + Send + Sync + 'static,
-        E: Fn(agent::ExecutorCall) + Send + Sync + 'static,
+        E: Fn(agent::EndpointCall) + Send + Sync + 'static,
     {
         let mut stopping_since: Option<Instant> = None;
         stakker.run(Instant::now(), false);
@@ -378,7 +381,7 @@
 impl<W, E> Actors<W, E>
 where
     W: Fn(agent::WorkerCall) + Send + Sync + 'static,
-    E: Fn(agent::ExecutorCall) + Send + Sync + 'static,
+    E: Fn(agent::EndpointCall) + Send + Sync + 'static,
 {
     fn dispatch(&self, event: Event) {
         match event {
--- a/src/runtime/single_threaded/adapters.rs
+++ b/src/runtime/single_threaded/adapters.rs
@@ -60,12 +60,12 @@
         let result_label = match answer {
             gateway::GatewayAnswer::Outcome(_) => "told",
             gateway::GatewayAnswer::Rejected { cause, .. } => {
-                self.metrics.gateway_refused(*cause);
+                self.metrics.count_gateway_rejection(*cause);
                 "not_taken"
             }
             gateway::GatewayAnswer::Unknown => "unknown",
         };
-        self.metrics.gateway_answered(result_label, took_ms as f64 / 1_000.0);
+        self.metrics.observe_gateway_answer(result_label, took_ms as f64 / 1_000.0);
     }
 }
 
@@ -103,7 +103,7 @@
         match effect {
             node::Effect::Send { to, message } => self.sender.send(to, message),
             node::Effect::AnnouncementIgnored(cause) => {
-                self.metrics.announcement_passed_over(cause)
+                self.metrics.count_ignored_announcement(cause)
             }
             node::Effect::Call { id, call } => {
                 let (pool, platform) = (self.pool.clone(), self.platform.clone());
--- a/src/runtime/single_threaded/mod.rs
+++ b/src/runtime/single_threaded/mod.rs
@@ -47,7 +47,7 @@
         },
     },
     schema::settings::{DispatchSettings, GatewaySettings, NodeSettings, Settings},
-    util::{Clock, Place, set_clock_ahead},
+    util::{Clock, GroupId, set_clock_ahead},
 };
 
 /// Longest wait for an event.
@@ -265,13 +265,13 @@
     fn open_disk(&self, settings: &DispatchSettings) -> Result<OpenDisk> {
         let folder = Path::new(settings.data_folder.as_str());
         let process = &self.settings.process;
-        let group_id = Place { region: process.region as u8, group: process.group as u8 };
+        let group_id = GroupId { region: process.region as u8, group: process.group as u8 };
         let founders = match settings.first_start {
             0 => Vec::new(),
             _ => control_links(&self.settings),
         };
         let identity =
-            Identity::read_or_make(folder, group_id, self.settings.link.listen, &founders)?;
+            Identity::read_or_create(folder, group_id, self.settings.link.listen, &founders)?;
         let (disk, recovered) = Disk::open(folder, &identity, settings.free_min_bytes.into())?;
         tracing::info!(event = "disk_opened", member = %identity.member, founders = identity.founders.len(), entries = recovered.entries.len(), term = recovered.hard_state.term);
         Ok(OpenDisk { disk, recovered, identity })
@@ -432,7 +432,7 @@
                 let http_request = match request {
                     Ok(it) => it,
                     Err(it) => {
-                        metrics.announcement_passed_over(AnnouncementRejection::Unreadable);
+                        metrics.count_ignored_announcement(AnnouncementRejection::Unreadable);
                         return Some(platform.refusal(&it));
                     }
                 };
@@ -442,7 +442,7 @@
                         Some(answer)
                     }
                     Err((cause, answer)) => {
-                        metrics.announcement_passed_over(cause);
+                        metrics.count_ignored_announcement(cause);
                         tracing::info!(event = "announcement_passed_over", path = %http_request.path, bytes = http_request.body.len(), cause = cause.as_str(), status = answer.status);
                         Some(answer)
                     }
--- a/src/runtime/single_threaded/options.rs
+++ b/src/runtime/single_threaded/options.rs
@@ -44,7 +44,7 @@
 ) -> GatewayOptions {
     GatewayOptions {
         address,
-        controls: controls.to_vec(),
+        control_addresses: controls.to_vec(),
         boot: fastrand::u64(..) >> 1,
         resend_ms: settings.resend_ms.into(),
         election_pause_ms: settings.election_pause_ms.into(),
@@ -62,7 +62,7 @@
 ) -> NodeOptions {
     NodeOptions {
         address,
-        controls: controls.to_vec(),
+        control_addresses: controls.to_vec(),
         boot: fastrand::u64(..),
         report_ms: settings.report_ms.into(),
         retry_ms: settings.retry_ms.into(),
--- a/src/standin/executor.rs
+++ b/src/standin/executor.rs
@@ -34,7 +34,7 @@
 
 /// State of a simulated endpoint: request counts for checks, and settings that can change.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct EndpointState {
     /// Number of runs by request body.
     runs: Mutex<HashMap<String, u32>>,
     in_use: AtomicU32,
@@ -45,9 +45,9 @@
     fail_permille: AtomicU32,
 }
 
-impl Seen {
+impl EndpointState {
     /// Returns how many times a request with this body ran.
-    pub fn runs_of(&self, body: &str) -> u32 {
+    pub fn run_count(&self, body: &str) -> u32 {
         self.runs.lock().unwrap_or_else(PoisonError::into_inner).get(body).copied().unwrap_or(0)
     }
 
@@ -77,8 +77,8 @@
 /// # Errors
 ///
 /// Returns an error if the endpoint cannot listen on its address or start a thread.
-pub fn start_executor(options: ExecutorOptions) -> Result<Arc<Seen>> {
-    let state = Arc::new(Seen::default());
+pub fn start_executor(options: ExecutorOptions) -> Result<Arc<EndpointState>> {
+    let state = Arc::new(EndpointState::default());
     state.set_work_ms(options.work_ms);
     state.set_fail_permille(options.fail_permille);
     let pending = Pending::default();
@@ -135,7 +135,7 @@
     Ok(state)
 }
 
-fn announce_until_left(options: &ExecutorOptions, state: &Seen) {
+fn announce_until_left(options: &ExecutorOptions, state: &EndpointState) {
     let client = new_client(1);
     let announcement = json!({
         "class": options.class,
--- a/src/standin/layout.rs
+++ b/src/standin/layout.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     config::load_settings, control::log::Identity, prelude::*, schema::settings::Settings,
-    util::Place,
+    util::GroupId,
 };
 
 /// Token of the team `demo`.
@@ -82,7 +82,7 @@
             let data = folder.join(format!("control-{}", index + 1));
             let identity = Identity {
                 member: MemberId(index as u64 + 1),
-                group_id: Place { region: 1, group: 1 },
+                group_id: GroupId { region: 1, group: 1 },
                 founders: founders.clone(),
             };
             identity.create(&data)?;
--- a/src/standin/worker_model.rs
+++ b/src/standin/worker_model.rs
@@ -63,7 +63,7 @@
     }
 
     /// Returns the resources of the running tasks.
-    pub fn held(&self) -> Resources {
+    pub fn running_resources(&self) -> Resources {
         self.runs
             .values()
             .filter(|it| is_running(it.task.phase))
@@ -140,7 +140,7 @@
     }
 
     fn report(&self) -> WorkerReport {
-        let reserved = self.held();
+        let reserved = self.running_resources();
         let usage = Usage {
             cpu_millicores: reserved.cpu_millicores,
             memory_mib: reserved.memory_mib,
@@ -174,7 +174,7 @@
             }
             _ => (),
         }
-        if !fits(add(self.held(), start.resources), self.capacity) {
+        if !fits(add(self.running_resources(), start.resources), self.capacity) {
             return refused("the VM is full");
         }
         self.starts += 1;
--- a/src/util/group_id.rs
+++ b/src/util/group_id.rs
@@ -7,22 +7,22 @@
 ///
 /// Identifiers include both, so that those of different groups or regions never collide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Place {
+pub struct GroupId {
     pub region: u8,
     pub group: u8,
 }
 
-impl Place {
+impl GroupId {
     /// Packs region, group and `index` into one number.
     ///
     /// ```
-    /// use aspenrail::util::{Place, index_of};
+    /// use aspenrail::util::{GroupId, index_of};
     ///
-    /// let group = Place { region: 2, group: 1 };
+    /// let group = GroupId { region: 2, group: 1 };
     /// let id = group.pack(7);
     /// assert_eq!(index_of(id), 7);
     /// assert!(group.owns(id));
-    /// assert!(!Place { region: 1, group: 1 }.owns(id));
+    /// assert!(!GroupId { region: 1, group: 1 }.owns(id));
     /// ```
     pub fn pack(self, index: u64) -> u64 {
         (u64::from(self.region) << 56)
--- a/src/util/mod.rs
+++ b/src/util/mod.rs
@@ -8,6 +8,6 @@
 
 pub use self::clock::{Clock, Now, set_clock_ahead};
 pub use self::digest::{checksum, digest_of};
-pub use self::group_id::{Place, index_of};
+pub use self::group_id::{GroupId, index_of};
 pub use self::incarnation::{id_of_incarnation, incarnation_name};
 pub use self::step::StepRef;
--- a/tests/cluster/harness.rs
+++ b/tests/cluster/harness.rs
@@ -13,7 +13,7 @@
     http::client::new_client,
     prelude::*,
     standin::{
-        executor::{ExecutorOptions, Seen, start_executor},
+        executor::{EndpointState, ExecutorOptions, start_executor},
         layout::{Counts, Layout, OPERATOR_TOKEN, TEAM_TOKEN},
         load::{LoadOptions, run_load},
         worker::start_worker,
@@ -33,7 +33,7 @@
 pub struct Cluster {
     pub layout: Layout,
     pub processes: BTreeMap<PathBuf, Child>,
-    pub executors: Vec<Arc<Seen>>,
+    pub executors: Vec<Arc<EndpointState>>,
     _folder: tempfile::TempDir,
 }
 
@@ -198,7 +198,7 @@
     }
 
     pub fn runs_of(&self, body: &str) -> u32 {
-        self.executors.iter().map(|it| it.runs_of(body)).sum()
+        self.executors.iter().map(|it| it.run_count(body)).sum()
     }
 }
 
--- a/tests/disk.rs
+++ b/tests/disk.rs
@@ -6,12 +6,12 @@
 use aspenrail::{
     control::log::{Disk, DiskWrite, HardState, Identity, RecoveredState, Snapshot},
     prelude::*,
-    util::{Place, checksum},
+    util::{GroupId, checksum},
 };
 
 fn identity() -> Identity {
     let founders = vec![Member { id: MemberId(1), address: "127.0.0.1:1".parse().unwrap() }];
-    Identity { member: MemberId(1), group_id: Place { region: 1, group: 1 }, founders }
+    Identity { member: MemberId(1), group_id: GroupId { region: 1, group: 1 }, founders }
 }
 
 fn open(folder: &Path) -> Result<(Disk, RecoveredState)> {
--- a/tests/fillers.rs
+++ b/tests/fillers.rs
@@ -172,10 +172,10 @@
         let noise = (random.f64() - 0.5) * 30.0;
         let (heavy, light) = (random.f64() * 6.0, random.f64() * 6.0);
         let fillers = [
-            FillerLoad { image: contention.image("heavy"), cores: heavy },
-            FillerLoad { image: contention.image("light"), cores: light },
+            FillerLoad { image: contention.image_key("heavy"), cores: heavy },
+            FillerLoad { image: contention.image_key("light"), cores: light },
         ];
-        let image = contention.image("web");
+        let image = contention.image_key("web");
         let serving = |index: u32, headroom_percent: f64| ServingTask {
             run: run(1, index),
             image,
@@ -199,12 +199,12 @@
     let mut random = fastrand::Rng::with_seed(7);
     let fillers = ["one", "two", "three", "four"];
     for at in 0..80_u64 {
-        let image = contention.image("web");
+        let image = contention.image_key("web");
         for index in 0..2 {
             let beside: Vec<_> = fillers
                 .iter()
                 .filter(|_| random.bool())
-                .map(|it| FillerLoad { image: contention.image(it), cores: 7.0 })
+                .map(|it| FillerLoad { image: contention.image_key(it), cores: 7.0 })
                 .collect();
             let taken: f64 = beside.iter().map(|it| 0.7 * it.cores).sum();
             let rough = 1.0 + (random.f64() + random.f64() - 1.0) * 0.25;
@@ -228,11 +228,11 @@
     let mut random = fastrand::Rng::with_seed(3);
     // Six tasks of a service on six VMs, four of them with a filler that takes 13 % a core.
     for at in 0..6_u64 {
-        let image = contention.image("web");
+        let image = contention.image_key("web");
         let rest = 330.0 - at as f64 * 25.0;
         for index in 0..6 {
             let cores = if index < 4 { 7.0 } else { 0.0 };
-            let heavy = FillerLoad { image: contention.image("heavy"), cores };
+            let heavy = FillerLoad { image: contention.image_key("heavy"), cores };
             let rough = 1.0 + (random.f64() + random.f64() - 1.0) * 0.25;
             let headroom_percent = (rest - 13.0 * cores) * rough;
             let beside = if index < 4 { vec![heavy] } else { Vec::new() };
@@ -251,7 +251,7 @@
 #[test]
 fn what_services_use_of_their_room_follows_their_load() {
     let mut contention = ContentionModel::default();
-    let image = contention.image("web");
+    let image = contention.image_key("web");
     let group = StepRef::of_task(run(1, 0).task);
     assert_eq!(contention.cpu_use_share(image, group), 0.45, "nothing is known yet");
     let mut most_off: f64 = 0.0;
@@ -292,14 +292,14 @@
     let mut contention = ContentionModel::default();
     for at in 0..200_u64 {
         let now_ms = at * 250;
-        let image = contention.image("web");
+        let image = contention.image_key("web");
         let serving = |index: u32, headroom_percent: f64| ServingTask {
             run: run(1, index),
             image,
             headroom_percent,
         };
-        let other = FillerLoad { image: contention.image(&format!("other-{at}")), cores: 3.0 };
-        let heavy = FillerLoad { image: contention.image("heavy"), cores: 6.0 };
+        let other = FillerLoad { image: contention.image_key(&format!("other-{at}")), cores: 3.0 };
+        let heavy = FillerLoad { image: contention.image_key("heavy"), cores: 6.0 };
         contention.observe(&[serving(0, 270.0)], &[], now_ms);
         contention.observe(&[serving(1, 270.0 - 6.0 * 12.0)], &[heavy, other], now_ms);
     }
@@ -310,15 +310,17 @@
 
 /// What a core of a filler takes from a service, by their names.
 fn cost(contention: &mut ContentionModel, serving: &str, filler: &str) -> f64 {
-    let (serving, filler) = (contention.image(serving), contention.image(filler));
+    let (serving, filler) = (contention.image_key(serving), contention.image_key(filler));
     contention.cost_percent(serving, filler)
 }
 
 /// Keys of a service and a filler among some services, numbered as [`readings`] does.
 fn keys(services: u32, service: u32, filler: u32) -> (ImageKey, ImageKey) {
     let mut images = ImageTable::default();
-    let services: Vec<_> = (0..services).map(|it| images.key(&format!("service-{it}"))).collect();
-    let fillers: Vec<_> = (0..=filler).map(|it| images.key(&format!("filler-{it}"))).collect();
+    let services: Vec<_> =
+        (0..services).map(|it| images.key_or_insert(&format!("service-{it}"))).collect();
+    let fillers: Vec<_> =
+        (0..=filler).map(|it| images.key_or_insert(&format!("filler-{it}"))).collect();
     (services[service as usize], fillers[filler as usize])
 }
 
@@ -326,8 +328,9 @@
 fn readings(costs_percent: &[&[f64]]) -> PairObservations {
     let evidence = |it: &f64| (0.0 <= *it).then_some(CostObservation { mean: *it, variance: 1.0 });
     let mut images = ImageTable::default();
-    let mut keys =
-        |kind: &str, count| (0..count).map(|it| images.key(&format!("{kind}-{it}"))).collect();
+    let mut keys = |kind: &str, count| {
+        (0..count).map(|it| images.key_or_insert(&format!("{kind}-{it}"))).collect()
+    };
     PairObservations {
         serving: keys("service", costs_percent.len()),
         fillers: keys("filler", costs_percent[0].len()),
@@ -377,8 +380,8 @@
 fn what_one_service_showed_of_two_fillers_warns_another_of_the_second() {
     let mut contention = ContentionModel::default();
     // Fillers a and b are dear to the web service. The mail service has met only a so far.
-    let (web, mail) = (contention.image("web"), contention.image("mail"));
-    let (a, b) = (contention.image("a"), contention.image("b"));
+    let (web, mail) = (contention.image_key("web"), contention.image_key("mail"));
+    let (a, b) = (contention.image_key("a"), contention.image_key("b"));
     let beside = |image, cores| vec![FillerLoad { image, cores }];
     for step in 1..40 {
         let now_ms = step * 500;
@@ -401,11 +404,11 @@
 #[test]
 fn a_queue_that_is_worked_off_is_not_blamed_on_what_runs_then() {
     let mut contention = ContentionModel::default();
-    let image = contention.image("web");
+    let image = contention.image_key("web");
     let serving = |headroom_percent: f64| ServingTask { run: run(1, 0), image, headroom_percent };
     let group = StepRef::of_task(run(1, 0).task);
     contention.observe(&[serving(250.0)], &[], 1_000);
-    let batch = contention.image("batch");
+    let batch = contention.image_key("batch");
     contention.observe(&[serving(20.0)], &[FillerLoad { image: batch, cores: 8.0 }], 1_250);
     let before = contention.idle_headroom_percent(image, group);
     // The fillers are gone, and the tail falls only slowly.
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -414,8 +414,8 @@
     old_report_fades = { EndpointView { reported_in_flight: 16, report_age_ms: 5_000, ..VIEW }, EndpointView { own_in_flight: 4, ..VIEW } },
 )]
 fn better_endpoint_is_chosen(better: EndpointView, worse: EndpointView) {
-    assert_eq!(routing::best_of(&[worse, better]), Some(1));
-    assert_eq!(routing::best_of(&[better, worse]), Some(0));
+    assert_eq!(routing::index_of_best(&[worse, better]), Some(1));
+    assert_eq!(routing::index_of_best(&[better, worse]), Some(0));
 }
 
 const VIEW: EndpointView = EndpointView {
--- a/tests/promises/named_faults.rs
+++ b/tests/promises/named_faults.rs
@@ -420,7 +420,7 @@
         world.run(2_000);
     }
     let state = leader_state(&mut world);
-    let id = WatchId(aspenrail::util::Place { region: 1, group: 1 }.pack(1));
+    let id = WatchId(aspenrail::util::GroupId { region: 1, group: 1 }.pack(1));
     let watch = state.watches.get("team", id).unwrap();
     let bodies = |cursor| -> Vec<_> {
         watch.read(cursor, 100).unwrap().into_iter().map(|it| it.body).collect()
--- a/tests/promises/world/effects.rs
+++ b/tests/promises/world/effects.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use aspenrail::{
-    agent::{self, ExecutionId, ExecutorCall, ExecutorResult, WorkerCall},
+    agent::{self, EndpointCall, EndpointResult, ExecutionId, WorkerCall},
     control,
     entry::{self, CallerAnswer},
     prelude::*,
@@ -68,11 +68,11 @@
             _ => call.body.to_vec(),
         };
         let result =
-            ExecutorResult::Answered { status: 200, content_type: "text/plain".into(), body };
+            EndpointResult::Answered { status: 200, content_type: "text/plain".into(), body };
         self.input_agent(node, agent::Input::Executor { execution: id, result });
     }
 
-    pub(super) fn execute(&mut self, node: usize, call: ExecutorCall) {
+    pub(super) fn execute(&mut self, node: usize, call: EndpointCall) {
         let RoleCore::Agent { vm, .. } = self.nodes[node].role else { return };
         let body = String::from_utf8_lossy(&call.body).into_owned();
         if let Some(left_ms) = self.history.left.get(&vm)
@@ -109,7 +109,7 @@
                     }
                 }
             }
-            let held = vm.worker.held();
+            let held = vm.worker.running_resources();
             if !control::state::fits(held, CAPACITY) && self.history.overfull.len() < 5 {
                 self.history.overfull.push(format!("VM {at} holds {held:?} at {}", self.now_ms));
             }
@@ -144,7 +144,7 @@
                         agent::Effect::Worker(call) => {
                             self.push(1, Event::Worker { node, boot, call })
                         }
-                        agent::Effect::Call(it) => self.execute(node, it),
+                        agent::Effect::CallEndpoint(it) => self.execute(node, it),
                         agent::Effect::Answer { .. } => (),
                     }
                 }
--- a/tests/promises/world/mod.rs
+++ b/tests/promises/world/mod.rs
@@ -10,13 +10,13 @@
 };
 
 use aspenrail::{
-    agent::{self, AgentCore, AgentOptions, Announcement, ExecutionId, ExecutorCall, WorkerCall},
+    agent::{self, AgentCore, AgentOptions, Announcement, EndpointCall, ExecutionId, WorkerCall},
     control::{self, ControlCore, ControlOptions, log::RecoveredState},
     entry::{self, CallerRequest, EntryCore, EntryOptions, QuickRequest},
     metrics::Metrics,
     prelude::*,
     standin::worker_model::WorkerModel,
-    util::Place,
+    util::GroupId,
 };
 
 pub use self::settings::control_settings;
@@ -27,7 +27,7 @@
     sabotage::Sabotage,
 };
 
-pub const GROUP_ID: Place = Place { region: 1, group: 1 };
+pub const GROUP_ID: GroupId = GroupId { region: 1, group: 1 };
 pub const CAPACITY: Resources =
     Resources { cpu_millicores: 8_000, memory_mib: 16_000, accelerators: 1 };
 const WALL_MS: u64 = 1_700_000_000_000;
@@ -57,7 +57,7 @@
 pub struct FakeVm {
     pub worker: WorkerModel,
     pub up: bool,
-    executions: HashMap<ExecutionId, (u64, ExecutorCall)>,
+    executions: HashMap<ExecutionId, (u64, EndpointCall)>,
     pub announces: bool,
 }
 
--- a/tests/state_twin.rs
+++ b/tests/state_twin.rs
@@ -2,7 +2,7 @@
 //! anew for each question.
 #![allow(clippy::unwrap_used)]
 
-use aspenrail::{control::state::State, prelude::*, util::Place};
+use aspenrail::{control::state::State, prelude::*, util::GroupId};
 use proptest::prelude::*;
 
 const CAPACITY: u32 = 1_000;
@@ -96,7 +96,7 @@
     }
 
     fn new() -> Pair {
-        let state = State::new(Place { region: 1, group: 1 });
+        let state = State::new(GroupId { region: 1, group: 1 });
         let mut res = Pair { state, twin: Twin::default(), ids: Vec::new() };
         let quota = Resources { cpu_millicores: CAPACITY, memory_mib: 1, accelerators: 0 };
         let team =
--- a/tests/workflows/fillers.rs
+++ b/tests/workflows/fillers.rs
@@ -167,7 +167,7 @@
             running,
             ended,
             refused: Vec::new(),
-            noted: NotedEnds::NONE,
+            noted: NotedEnds::NO_ACKNOWLEDGEMENTS,
             roles_missing: false,
             faded: Vec::new(),
         }
@@ -251,7 +251,7 @@
     let cost = known.iter().find(|it| it.serving == "web" && it.filler == "heavy").unwrap();
     assert!((14.0..28.0).contains(&cost.headroom_percent), "{cost:?}; the truth is 21");
     let mut next = ContentionModel::with_known_costs(leader.workflows.image_costs(), 7_000);
-    let (web, heavy) = (next.image("web"), next.image("heavy"));
+    let (web, heavy) = (next.image_key("web"), next.image_key("heavy"));
     assert_eq!(next.cost_percent(web, heavy), f64::from(cost.headroom_percent));
 }
 
--- a/tests/workflows/late_ends.rs
+++ b/tests/workflows/late_ends.rs
@@ -49,7 +49,7 @@
 /// Returns how many failures the leader has taken in and not settled.
 fn open_failures(world: &World) -> usize {
     let workflows = &world.members[world.leader()].core.as_ref().unwrap().state().workflows;
-    workflows.workers().iter().map(|(id, _)| workflows.unsettled_failures_on(id).len()).sum()
+    workflows.workers().iter().map(|(id, _)| workflows.unsettled_failed_runs_on(id).len()).sum()
 }
 
 /// Asserts that the workflow is shown as failed after as many failures as its queue allows.
--- a/tests/workflows/ledger.rs
+++ b/tests/workflows/ledger.rs
@@ -5,7 +5,7 @@
 use aspenrail::{
     control::state::{State, ValidationError, Workflows, check_spec},
     prelude::*,
-    util::Place,
+    util::GroupId,
 };
 
 use crate::world::{queues, spec, step};
@@ -206,7 +206,7 @@
     let first = run(7, 0, 0, 1);
     ledger.apply(&begin(1, &[first]), 2);
     ledger.apply(&finish(1, 5, first, RunOutcome::Failed), 3);
-    assert_eq!(ledger.unsettled_failures_on(WorkerId(1)), [first]);
+    assert_eq!(ledger.unsettled_failed_runs_on(WorkerId(1)), [first]);
     ledger.apply(&WorkflowCommand::Dismiss(WorkerId(1)), 10);
     assert_eq!(ledger.lost_failures_before(10), []);
     assert_eq!(ledger.lost_failures_before(11), [first]);
@@ -271,7 +271,7 @@
     let mut ledger = ready(spec(vec![filler]));
     ledger.apply(&begin(1, &[run(7, 0, 0, 1)]), 2);
     let worker = ledger.workers().get(WorkerId(1)).unwrap();
-    assert_eq!((worker.used.cpu_millicores, worker.used.memory_mib), (0, 1_000));
+    assert_eq!((worker.reserved.cpu_millicores, worker.reserved.memory_mib), (0, 1_000));
     assert_eq!(worker.filler_millicores, 4_000);
 }
 
@@ -341,7 +341,7 @@
         }
     }
     for (id, worker) in ledger.workers().iter() {
-        assert_eq!(worker.used.cpu_millicores, cores.get(&id).copied().unwrap_or(0));
+        assert_eq!(worker.reserved.cpu_millicores, cores.get(&id).copied().unwrap_or(0));
     }
     let listed: usize = ledger.workers().iter().map(|(_, it)| it.runs.len()).sum();
     assert_eq!(listed, live);
@@ -352,7 +352,7 @@
 #[test]
 fn ready_steps_and_workers_are_found_as_by_a_walk() {
     let mut random = fastrand::Rng::with_seed(23);
-    let mut state = State::new(Place { region: 1, group: 1 });
+    let mut state = State::new(GroupId { region: 1, group: 1 });
     let mut applied = 0;
     let mut apply = |state: &mut State, command: WorkflowCommand| {
         applied += 1;
@@ -456,7 +456,7 @@
 
 #[test]
 fn zones_out_of_use_are_in_the_snapshot_and_an_older_snapshot_has_none() {
-    let mut state = State::new(Place { region: 1, group: 1 });
+    let mut state = State::new(GroupId { region: 1, group: 1 });
     let older = state.to_bytes().unwrap();
     state.apply_workflow(1, 9, &evacuate("z", true, 0));
     let read = State::from_bytes(&state.to_bytes().unwrap()).unwrap();
@@ -488,7 +488,7 @@
 }
 
 fn submitted() -> State {
-    let mut state = State::new(Place { region: 1, group: 1 });
+    let mut state = State::new(GroupId { region: 1, group: 1 });
     for it in [WorkflowCommand::Install(queues(1)), submit(7, spec(vec![step(2, 1, &[])]))] {
         state.apply_workflow(1, 1, &it);
     }
--- a/tests/workflows/node.rs
+++ b/tests/workflows/node.rs
@@ -32,7 +32,7 @@
     pub fn without_worker() -> Alone {
         let options = NodeOptions {
             address: address(200),
-            controls: vec![address(0), address(1)],
+            control_addresses: vec![address(0), address(1)],
             boot: 1,
             report_ms: 500,
             retry_ms: 100,
--- a/tests/workflows/node_restarts.rs
+++ b/tests/workflows/node_restarts.rs
@@ -226,7 +226,7 @@
 fn new_node(boot: u64) -> NodeCore {
     NodeCore::new(NodeOptions {
         address: address(200),
-        controls: vec![address(0)],
+        control_addresses: vec![address(0)],
         boot,
         report_ms: 500,
         retry_ms: 100,
--- a/tests/workflows/world.rs
+++ b/tests/workflows/world.rs
@@ -15,7 +15,7 @@
     node::{self, CallResult, NodeCore, NodeOptions, WorkerCall},
     prelude::*,
     schema::settings::ControlSettings,
-    util::Place,
+    util::GroupId,
 };
 
 use crate::{
@@ -24,7 +24,7 @@
     worker::{FakeWorker, Nature},
 };
 
-const GROUP_ID: Place = Place { region: 1, group: 1 };
+const GROUP_ID: GroupId = GroupId { region: 1, group: 1 };
 
 /// Time after which a worker that crashed is back.
 const CRASH_DOWN_MS: u64 = 3_000;
@@ -141,7 +141,7 @@
         let controls: Vec<_> = (0..members).map(address).collect();
         let options = GatewayOptions {
             address: address(100),
-            controls: controls.clone(),
+            control_addresses: controls.clone(),
             boot: 1,
             resend_ms: 300,
             election_pause_ms: 50,
@@ -260,7 +260,7 @@
     fn start_node(&mut self, vm: usize) {
         let options = NodeOptions {
             address: address(200 + vm),
-            controls: self.controls(),
+            control_addresses: self.controls(),
             boot: self.random.u64(..),
             report_ms: 500,
             retry_ms: 100,
