--- a/tests/fillers.rs
+++ b/tests/fillers.rs
@@ -181,10 +181,10 @@
         let noise = (random.f64() - 0.5) * 30.0;
         let (heavy, light) = (random.f64() * 6.0, random.f64() * 6.0);
         let fillers = [
-            FillerLoad { image: contention.image("heavy"), cores: heavy },
-            FillerLoad { image: contention.image("light"), cores: light },
+            FillerLoad { image: contention.image_key("heavy"), cores: heavy },
+            FillerLoad { image: contention.image_key("light"), cores: light },
         ];
-        let image = contention.image("web");
+        let image = contention.image_key("web");
         let serving = |index: u32, headroom_percent: f64| ServingTask {
             run: run(1, index),
             image,
@@ -209,12 +209,12 @@
     let mut random = fastrand::Rng::with_seed(7);
     let fillers = ["one", "two", "three", "four"];
     for step in 0..80_u64 {
-        let image = contention.image("web");
+        let image = contention.image_key("web");
         for index in 0..2 {
             let active_fillers: Vec<_> = fillers
                 .iter()
                 .filter(|_| random.bool())
-                .map(|it| FillerLoad { image: contention.image(it), cores: 7.0 })
+                .map(|it| FillerLoad { image: contention.image_key(it), cores: 7.0 })
                 .collect();
             let used_percent: f64 = active_fillers.iter().map(|it| 0.7 * it.cores).sum();
             let noise_factor = 1.0 + (random.f64() + random.f64() - 1.0) * 0.25;
@@ -238,11 +238,11 @@
     let mut random = fastrand::Rng::with_seed(3);
     // Six tasks of a service on six VMs, four of them with a filler that costs 13 % per core.
     for step in 0..6_u64 {
-        let image = contention.image("web");
+        let image = contention.image_key("web");
         let idle_headroom = 330.0 - step as f64 * 25.0;
         for index in 0..6 {
             let cores = if index < 4 { 7.0 } else { 0.0 };
-            let heavy = FillerLoad { image: contention.image("heavy"), cores };
+            let heavy = FillerLoad { image: contention.image_key("heavy"), cores };
             let noise_factor = 1.0 + (random.f64() + random.f64() - 1.0) * 0.25;
             let headroom_percent = (idle_headroom - 13.0 * cores) * noise_factor;
             let active_fillers = if index < 4 { vec![heavy] } else { Vec::new() };
@@ -261,7 +261,7 @@
 #[test]
 fn what_services_use_of_their_room_follows_their_load() {
     let mut contention = ContentionModel::default();
-    let image = contention.image("web");
+    let image = contention.image_key("web");
     let group = StepRef::of_task(run(1, 0).task);
     assert_eq!(contention.cpu_use_share(image, group), 0.45, "the default before any observation");
     let mut max_error: f64 = 0.0;
@@ -305,14 +305,15 @@
     let mut contention = ContentionModel::default();
     for step in 0..200_u64 {
         let now_ms = step * 250;
-        let image = contention.image("web");
+        let image = contention.image_key("web");
         let serving = |index: u32, headroom_percent: f64| ServingTask {
             run: run(1, index),
             image,
             headroom_percent,
         };
-        let other = FillerLoad { image: contention.image(&format!("other-{step}")), cores: 3.0 };
-        let heavy = FillerLoad { image: contention.image("heavy"), cores: 6.0 };
+        let other =
+            FillerLoad { image: contention.image_key(&format!("other-{step}")), cores: 3.0 };
+        let heavy = FillerLoad { image: contention.image_key("heavy"), cores: 6.0 };
         contention.observe(&[serving(0, 270.0)], &[], now_ms);
         contention.observe(&[serving(1, 270.0 - 6.0 * 12.0)], &[heavy, other], now_ms);
     }
@@ -323,15 +324,17 @@
 
 /// Returns the cost per core of a filler image to a service image, by their names.
 fn cost(contention: &mut ContentionModel, serving: &str, filler: &str) -> f64 {
-    let (serving, filler) = (contention.image(serving), contention.image(filler));
+    let (serving, filler) = (contention.image_key(serving), contention.image_key(filler));
     contention.cost_percent(serving, filler)
 }
 
 /// Returns the keys of a service and a filler, with the numbering of [`readings`].
 fn keys(services: u32, service: u32, filler: u32) -> (ImageKey, ImageKey) {
     let mut images = ImageTable::default();
-    let services: Vec<_> = (0..services).map(|it| images.key(&format!("service-{it}"))).collect();
-    let fillers: Vec<_> = (0..=filler).map(|it| images.key(&format!("filler-{it}"))).collect();
+    let services: Vec<_> =
+        (0..services).map(|it| images.key_or_insert(&format!("service-{it}"))).collect();
+    let fillers: Vec<_> =
+        (0..=filler).map(|it| images.key_or_insert(&format!("filler-{it}"))).collect();
     (services[service as usize], fillers[filler as usize])
 }
 
@@ -340,8 +343,9 @@
 fn readings(costs_percent: &[&[f64]]) -> PairObservations {
     let evidence = |it: &f64| (0.0 <= *it).then_some(CostObservation { mean: *it, variance: 1.0 });
     let mut images = ImageTable::default();
-    let mut keys =
-        |kind: &str, count| (0..count).map(|it| images.key(&format!("{kind}-{it}"))).collect();
+    let mut keys = |kind: &str, count| {
+        (0..count).map(|it| images.key_or_insert(&format!("{kind}-{it}"))).collect()
+    };
     PairObservations {
         serving: keys("service", costs_percent.len()),
         fillers: keys("filler", costs_percent[0].len()),
@@ -391,8 +395,8 @@
 fn what_one_service_showed_of_two_fillers_warns_another_of_the_second() {
     let mut contention = ContentionModel::default();
     // Fillers a and b are expensive for the web service. The mail service has run only with a so far.
-    let (web, mail) = (contention.image("web"), contention.image("mail"));
-    let (a, b) = (contention.image("a"), contention.image("b"));
+    let (web, mail) = (contention.image_key("web"), contention.image_key("mail"));
+    let (a, b) = (contention.image_key("a"), contention.image_key("b"));
     let filler_load = |image, cores| vec![FillerLoad { image, cores }];
     for step in 1..40 {
         let now_ms = step * 500;
@@ -415,11 +419,11 @@
 #[test]
 fn a_queue_that_is_worked_off_is_not_blamed_on_what_runs_then() {
     let mut contention = ContentionModel::default();
-    let image = contention.image("web");
+    let image = contention.image_key("web");
     let serving = |headroom_percent: f64| ServingTask { run: run(1, 0), image, headroom_percent };
     let group = StepRef::of_task(run(1, 0).task);
     contention.observe(&[serving(250.0)], &[], 1_000);
-    let batch = contention.image("batch");
+    let batch = contention.image_key("batch");
     contention.observe(&[serving(20.0)], &[FillerLoad { image: batch, cores: 8.0 }], 1_250);
     let before = contention.idle_headroom_percent(image, group);
     // The filler has ended, and the tail latency decreases only slowly.
--- a/tests/promises/world/effects.rs
+++ b/tests/promises/world/effects.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use aspenrail::{
-    agent::{self, ExecutionId, ExecutorCall, ExecutorResult, WorkerCall},
+    agent::{self, EndpointCall, EndpointResult, ExecutionId, WorkerCall},
     control,
     entry::{self, CallerAnswer},
     prelude::*,
@@ -68,11 +68,11 @@
             _ => call.body.to_vec(),
         };
         let result =
-            ExecutorResult::Answered { status: 200, content_type: "text/plain".into(), body };
+            EndpointResult::Answered { status: 200, content_type: "text/plain".into(), body };
         self.input_agent(node, agent::Input::Executor { execution: id, result });
     }
 
-    pub(super) fn start_execution(&mut self, node: usize, call: ExecutorCall) {
+    pub(super) fn start_execution(&mut self, node: usize, call: EndpointCall) {
         let RoleCore::Agent { vm, .. } = self.nodes[node].role else { return };
         let body = String::from_utf8_lossy(&call.body).into_owned();
         if let Some(left_ms) = self.history.left_ms_by_vm.get(&vm)
@@ -109,7 +109,7 @@
                     }
                 }
             }
-            let used = vm.worker.held();
+            let used = vm.worker.running_resources();
             if !control::state::fits(used, CAPACITY) && self.history.overcommitted_vms.len() < 5 {
                 self.history
                     .overcommitted_vms
@@ -146,7 +146,7 @@
                         agent::Effect::Worker(call) => {
                             self.push(1, Event::Worker { node, boot, call })
                         }
-                        agent::Effect::Call(it) => self.start_execution(node, it),
+                        agent::Effect::CallEndpoint(it) => self.start_execution(node, it),
                         agent::Effect::Answer { .. } => (),
                     }
                 }
--- a/tests/workflows/late_ends.rs
+++ b/tests/workflows/late_ends.rs
@@ -49,7 +49,7 @@
 /// Returns the number of failures that the leader has recorded and not settled.
 fn unsettled_failures(world: &World) -> usize {
     let workflows = &world.members[world.leader()].core.as_ref().unwrap().state().workflows;
-    workflows.workers().iter().map(|(id, _)| workflows.unsettled_failures_on(id).len()).sum()
+    workflows.workers().iter().map(|(id, _)| workflows.unsettled_failed_runs_on(id).len()).sum()
 }
 
 /// Asserts that the workflow is shown as failed, after exactly the failures that its queue allows.
