--- a/tests/workflows/faults.rs
+++ b/tests/workflows/faults.rs
@@ -182,7 +182,7 @@
 fn default_lease_ms() -> u64 {
     let page = aspenrail::config::settings_page();
     let row =
-        page.lines().find(|it| it.contains("runs on without a word from the leader")).unwrap();
+        page.lines().find(|it| it.contains("runs tasks without a renewal by the leader")).unwrap();
     row.split('|').nth(4).unwrap().trim().parse().unwrap()
 }
 
