--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     site::{Site, call},
-    worker::Nature,
+    worker::TaskBehavior,
     workers::Workers,
 };
 
@@ -82,7 +82,7 @@
                         last.map(|it| format!("{id:x} was accepted but has not ended: {it}")),
                     );
                 }
-                Submission::Refused if site.workers.state().rules.has_begun(*id) => {
+                Submission::Refused if site.workers.state().rules.has_started_workflow(*id) => {
                     violations.push(format!("{id:x} was refused but ran"));
                 }
                 Submission::Refused | Submission::Unknown => (),
@@ -101,7 +101,7 @@
                 Some((200, state)) => {
                     let phase = phase_of(&state);
                     if let Some(phase) = phase {
-                        site.workers.state().rules.told(id, phase);
+                        site.workers.state().rules.check_phase(id, phase);
                     }
                     if matches!(phase, Some(WorkflowPhase::Completed | WorkflowPhase::Failed)) {
                         return None;
@@ -164,7 +164,7 @@
         let body = json!({"spec": "x", "steps": steps});
         {
             let mut state = self.workers.state();
-            let nature = Nature {
+            let nature = TaskBehavior {
                 work_ms: self.random.u64(20..1_500),
                 fails_every: [0, 0, 0, 2, 3][self.random.usize(0..5)],
                 crash: None,
@@ -195,12 +195,15 @@
         match inspect(&self.client, entry_address, id) {
             Some((200, state)) => {
                 if let Some(phase) = phase_of(&state) {
-                    self.workers.state().rules.told(id, phase);
+                    self.workers.state().rules.check_phase(id, phase);
                 }
             }
             Some((410, _)) if was_accepted => {
                 let mut state = self.workers.state();
-                state.rules.broken.push(format!("{id:x} was accepted but is answered as unknown"));
+                state
+                    .rules
+                    .violations
+                    .push(format!("{id:x} was accepted but is answered as unknown"));
             }
             _ => (),
         }
--- a/tests/soak/workers.rs
+++ b/tests/soak/workers.rs
@@ -19,8 +19,8 @@
 use serde_json::{Value, json};
 
 use crate::{
-    rules::Ledger,
-    worker::{FakeWorker, Nature},
+    rules::InvariantChecker,
+    worker::{FakeWorker, TaskBehavior},
 };
 
 /// Attempts that the queue of the tests allows per task.
@@ -37,8 +37,8 @@
 
 /// State of all simulated workers.
 pub struct State {
-    pub rules: Ledger,
-    pub nature: BTreeMap<u64, Nature>,
+    pub rules: InvariantChecker,
+    pub nature: BTreeMap<u64, TaskBehavior>,
     workers: Vec<FakeWorker>,
     up_at: Vec<Option<Instant>>,
     /// Share of orders that get no answer and are executed late, in percent.
@@ -58,7 +58,7 @@
     /// Starts a worker for each pair of worker address and node address.
     pub fn start(seed: u64, places: &[(SocketAddr, SocketAddr)]) -> Workers {
         let state = State {
-            rules: Ledger::new(ATTEMPTS_MAX),
+            rules: InvariantChecker::new(ATTEMPTS_MAX),
             nature: BTreeMap::new(),
             workers: (0..places.len()).map(FakeWorker::new).collect(),
             up_at: vec![None; places.len()],
@@ -93,7 +93,7 @@
     }
 
     pub fn take_violations(&self) -> Vec<String> {
-        std::mem::take(&mut self.state().rules.broken)
+        std::mem::take(&mut self.state().rules.violations)
     }
 
     pub fn set_late_percent(&self, percent: u32) {
@@ -181,7 +181,7 @@
             }
             let is_late = is_order && state.random.u32(0..100) < state.late_percent;
             let late_ms = is_late.then(|| state.random.u64(1_000..8_000));
-            (late_ms, state.workers[vm].lifetime)
+            (late_ms, state.workers[vm].incarnation)
         };
         let Some(late_ms) = late_ms else {
             return Some(answer_of(&self.execute(vm, &call, false, worker_incarnation)));
@@ -206,7 +206,7 @@
         let mut guard = self.state();
         let state = &mut *guard;
         let worker = &mut state.workers[vm];
-        if !worker.up || worker.lifetime != worker_incarnation {
+        if !worker.up || worker.incarnation != worker_incarnation {
             return CallResult::NoAnswer;
         }
         worker.is_late = is_late;
--- a/tests/workflows/capacity.rs
+++ b/tests/workflows/capacity.rs
@@ -3,8 +3,8 @@
 use aspenrail::prelude::*;
 
 use crate::{
-    faults::disturb,
-    worker::{CAPACITY, Nature},
+    faults::inject_fault,
+    worker::{CAPACITY, TaskBehavior},
     world::{World, spec, step},
 };
 
@@ -12,9 +12,9 @@
 const SEEDS: std::ops::Range<u64> = 0..10;
 
 /// First seed of the long run.
-const LONG_FROM: u64 = 500_000;
+const LONG_FIRST_SEED: u64 = 500_000;
 
-const QUICK: Nature = Nature { work_ms: 600, fails_every: 0, crash: None };
+const QUICK: TaskBehavior = TaskBehavior { work_ms: 600, fails_every: 0, crash: None };
 
 /// Creates workers that accept all starts, so that only the leader limits what runs on them.
 fn world_without_capacity_checks(seed: u64, workers: usize) -> World {
@@ -31,7 +31,7 @@
 }
 
 fn assert_unbroken(world: &World) {
-    assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
+    assert!(world.rules.violations.is_empty(), "{:#?}", world.rules.violations);
 }
 
 #[test]
@@ -81,7 +81,7 @@
 #[test]
 fn what_runs_on_a_worker_that_shrinks_goes_on() {
     let mut world = world_without_capacity_checks(34, 1);
-    world.submit(1, spec(vec![step(8, 2, &[])]), Nature { work_ms: 5_000, ..QUICK });
+    world.submit(1, spec(vec![step(8, 2, &[])]), TaskBehavior { work_ms: 5_000, ..QUICK });
     world.run_for(1_000);
     resize(&mut world, 0, 4);
     world.run_for(8_000);
@@ -95,8 +95,8 @@
     for id in 1..=30 {
         let work_ms = world.random.u64(100..2_500);
         let steps = vec![step(6, 2, &[]), step(3, 3, &[0])];
-        world.submit(id, spec(steps), Nature { work_ms, ..QUICK });
-        disturb(&mut world);
+        world.submit(id, spec(steps), TaskBehavior { work_ms, ..QUICK });
+        inject_fault(&mut world);
         let vm = world.random.usize(0..5);
         if world.nodes[vm].worker.up && world.random.bool() {
             let cores = world.random.u32(2..17);
@@ -105,7 +105,7 @@
         let pause_ms = world.random.u64(200..1_500);
         world.run_for(pause_ms);
     }
-    world.cut.clear();
+    world.partitioned.clear();
     world.late_percent = 0;
     world.run_for(20_000);
     world
@@ -115,7 +115,7 @@
 fn no_worker_is_overfilled_while_capacities_change_under_seeded_faults() {
     for seed in SEEDS {
         let world = play(seed);
-        assert!(world.rules.broken.is_empty(), "seed {seed}: {:#?}", world.rules.broken);
+        assert!(world.rules.violations.is_empty(), "seed {seed}: {:#?}", world.rules.violations);
     }
 }
 
@@ -123,10 +123,10 @@
 #[ignore = "long; see the module"]
 fn many_seeds_with_changing_capacities() {
     let count = std::env::var("ASPENRAIL_SEEDS").map_or(200, |it| it.parse().unwrap());
-    let broken: Vec<_> = (LONG_FROM..LONG_FROM + count)
-        .map(|seed| (seed, play(seed).rules.broken))
+    let broken: Vec<_> = (LONG_FIRST_SEED..LONG_FIRST_SEED + count)
+        .map(|seed| (seed, play(seed).rules.violations))
         .filter(|(_, it)| !it.is_empty())
         .collect();
-    println!("{count} seeds from {LONG_FROM}: {} with broken rules", broken.len());
+    println!("{count} seeds from {LONG_FIRST_SEED}: {} with broken rules", broken.len());
     assert!(broken.is_empty(), "{broken:#?}");
 }
--- a/tests/workflows/colocation.rs
+++ b/tests/workflows/colocation.rs
@@ -14,7 +14,7 @@
     prelude::*,
 };
 
-use crate::fillers::{Leader, filler, node, service};
+use crate::fillers::{LeaderHarness, filler, node, service};
 
 const WORKERS: u64 = 8;
 const STEP_MS: u64 = 250;
@@ -165,7 +165,7 @@
 }
 
 struct Simulation {
-    leader: Leader,
+    leader: LeaderHarness,
     /// Cores of each VM. All needs are scaled to the size of the VM.
     vm_cores: u32,
     worker_nodes: Vec<WorkerNode>,
@@ -178,7 +178,7 @@
 
 impl Simulation {
     fn new(vm_cores: u32) -> Simulation {
-        let mut leader = Leader::of_cores(WORKERS, vm_cores);
+        let mut leader = LeaderHarness::with_cores(WORKERS, vm_cores);
         for (id, image) in (1..).zip(["a1", "b1", "a2", "b2"]) {
             leader.submit(id, vec![scale_to_vm(service(image, 6, 13), vm_cores)]);
         }
@@ -206,7 +206,7 @@
         self.leader.now_ms += STEP_MS;
         for worker in 1..=WORKERS {
             let (running, ended) = self.run_worker(worker);
-            self.leader.tell(worker, running, ended);
+            self.leader.report_runs(worker, running, ended);
         }
         let now_ms = self.leader.now_ms;
         let workflows = &self.leader.workflows;
--- a/tests/workflows/crashes.rs
+++ b/tests/workflows/crashes.rs
@@ -14,8 +14,8 @@
 use aspenrail::prelude::*;
 
 use crate::{
-    faults::disturb,
-    worker::{Crash, Nature},
+    faults::inject_fault,
+    worker::{Crash, TaskBehavior},
     world::{World, spec, step},
 };
 
@@ -25,10 +25,10 @@
 /// First seed of the ignored long run.
 const LONG_FIRST_SEED: u64 = 400_000;
 
-const QUICK: Nature = Nature { work_ms: 400, fails_every: 0, crash: None };
+const QUICK: TaskBehavior = TaskBehavior { work_ms: 400, fails_every: 0, crash: None };
 
-fn crashing(work_ms: u64, after_ms: u64) -> Nature {
-    Nature { work_ms, fails_every: 0, crash: Some(Crash { index: 0, after_ms }) }
+fn crashing(work_ms: u64, after_ms: u64) -> TaskBehavior {
+    TaskBehavior { work_ms, fails_every: 0, crash: Some(Crash { index: 0, after_ms }) }
 }
 
 fn long_running(count: u32) -> WorkflowStep {
@@ -38,7 +38,7 @@
 }
 
 fn assert_unbroken(world: &World) {
-    assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
+    assert!(world.rules.violations.is_empty(), "{:#?}", world.rules.violations);
 }
 
 /// Runs 30 workflows, of which the given ones crash their workers.
@@ -95,7 +95,7 @@
     let mut world = World::new(23, 3, 5);
     world.refuses_connections = true;
     world.install_queue();
-    world.submit(1, spec(vec![long_running(3)]), Nature { work_ms: 600_000, ..QUICK });
+    world.submit(1, spec(vec![long_running(3)]), TaskBehavior { work_ms: 600_000, ..QUICK });
     world.submit(2, spec(vec![long_running(3)]), crashing(600_000, 10));
     world.run_for(30_000);
     assert_unbroken(&world);
@@ -141,10 +141,10 @@
     world.refuses_connections = true;
     world.install_queue();
     for id in 1..=6 {
-        world.submit(id, spec(vec![long_running(4)]), Nature { work_ms: 600_000, ..QUICK });
+        world.submit(id, spec(vec![long_running(4)]), TaskBehavior { work_ms: 600_000, ..QUICK });
     }
     for id in 7..=40 {
-        world.submit(id, spec(vec![step(4, 1, &[])]), Nature { work_ms: 4_000, ..QUICK });
+        world.submit(id, spec(vec![step(4, 1, &[])]), TaskBehavior { work_ms: 4_000, ..QUICK });
         world.run_for(500);
         if id % 3 == 0 {
             let vm = world.random.usize(0..6);
@@ -181,12 +181,12 @@
     world.refuses_connections = true;
     world.install_queue();
     for id in 1..=6 {
-        world.submit(id, spec(vec![long_running(4)]), Nature { work_ms: 600_000, ..QUICK });
+        world.submit(id, spec(vec![long_running(4)]), TaskBehavior { work_ms: 600_000, ..QUICK });
     }
     let is_guilty = |id: u64| with_guilty && 6 < id && id.is_multiple_of(10);
     for id in 7..=40 {
         let after_ms = world.random.u64(0..3_000);
-        let harmless = Nature { work_ms: 4_000, ..QUICK };
+        let harmless = TaskBehavior { work_ms: 4_000, ..QUICK };
         let nature = if is_guilty(id) { crashing(4_000, after_ms) } else { harmless };
         world.submit(id, spec(vec![step(4, 1, &[])]), nature);
         world.run_for(500);
@@ -198,7 +198,7 @@
         }
     }
     world.run_for(30_000);
-    errors.broken += world.rules.broken.len() as u32;
+    errors.broken += world.rules.violations.len() as u32;
     errors.crashes_caused += world.rules.crashes_caused();
     for id in 1..=40 {
         let is_given_up = u32::from(world.phase(id) == Some(WorkflowPhase::Failed));
@@ -248,7 +248,7 @@
     let mut world = World::new(27, 3, 6);
     world.install_queue();
     for id in 1..=12 {
-        world.submit(id, spec(vec![long_running(3)]), Nature { work_ms: 600_000, ..QUICK });
+        world.submit(id, spec(vec![long_running(3)]), TaskBehavior { work_ms: 600_000, ..QUICK });
     }
     world.run_for(3_000);
     assert_eq!(world.rules.starts, 36);
@@ -274,14 +274,17 @@
             1 | 2 => vec![step(6, 2, &[])],
             _ => vec![step(4, 1, &[]), step(3, 3, &[0])],
         };
-        let nature =
-            Nature { work_ms: if id % 8 == 0 { 600_000 } else { work_ms }, fails_every: 0, crash };
+        let nature = TaskBehavior {
+            work_ms: if id % 8 == 0 { 600_000 } else { work_ms },
+            fails_every: 0,
+            crash,
+        };
         world.submit(id, spec(steps), nature);
-        disturb(&mut world);
+        inject_fault(&mut world);
         let pause_ms = world.random.u64(200..1_500);
         world.run_for(pause_ms);
     }
-    world.cut.clear();
+    world.partitioned.clear();
     world.late_percent = 0;
     world.run_for(40_000);
     world
@@ -289,7 +292,7 @@
 
 fn assert_unbroken_by(seed: u64) -> u32 {
     let world = simulate(seed);
-    assert!(world.rules.broken.is_empty(), "seed {seed}: {:#?}", world.rules.broken);
+    assert!(world.rules.violations.is_empty(), "seed {seed}: {:#?}", world.rules.violations);
     world.rules.starts
 }
 
@@ -326,7 +329,7 @@
 fn many_seeds_with_crashing_tasks() {
     let count = std::env::var("ASPENRAIL_SEEDS").map_or(200, |it| it.parse().unwrap());
     let broken: Vec<_> = (LONG_FIRST_SEED..LONG_FIRST_SEED + count)
-        .map(|seed| (seed, simulate(seed).rules.broken))
+        .map(|seed| (seed, simulate(seed).rules.violations))
         .filter(|(_, it)| !it.is_empty())
         .collect();
     println!("{count} seeds from {LONG_FIRST_SEED}: {} with broken rules", broken.len());
--- a/tests/workflows/days.rs
+++ b/tests/workflows/days.rs
@@ -3,14 +3,14 @@
 use aspenrail::prelude::*;
 
 use crate::{
-    worker::{CAPACITY, Crash, Nature},
+    worker::{CAPACITY, Crash, TaskBehavior},
     world::{World, spec, step},
 };
 
-const QUICK: Nature = Nature { work_ms: 500, fails_every: 0, crash: None };
+const QUICK: TaskBehavior = TaskBehavior { work_ms: 500, fails_every: 0, crash: None };
 
 fn assert_unbroken(world: &World) {
-    assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
+    assert!(world.rules.violations.is_empty(), "{:#?}", world.rules.violations);
 }
 
 /// The tasks of some workflows crash their workers, which restart under the same ids, and the leader
@@ -24,7 +24,7 @@
     let crash = Some(Crash { index: 0, after_ms: 10 });
     let crashes_workers = |id: u64| id.is_multiple_of(10);
     for id in 1..=30 {
-        let nature = if crashes_workers(id) { Nature { crash, ..QUICK } } else { QUICK };
+        let nature = if crashes_workers(id) { TaskBehavior { crash, ..QUICK } } else { QUICK };
         world.submit(id, spec(vec![step(4, 1, &[])]), nature);
         world.run_for(350);
         if id == lost_after_ms / 350 {
--- a/tests/workflows/evacuations.rs
+++ b/tests/workflows/evacuations.rs
@@ -3,8 +3,8 @@
 use aspenrail::{gateway::GatewayAnswer, prelude::*};
 
 use crate::{
-    faults::disturb,
-    worker::Nature,
+    faults::inject_fault,
+    worker::TaskBehavior,
     world::{World, spec, step, zone_of},
 };
 
@@ -12,12 +12,12 @@
 const SEEDS: std::ops::Range<u64> = 0..10;
 
 /// First seed of the long run.
-const LONG_FROM: u64 = 300_000;
+const LONG_FIRST_SEED: u64 = 300_000;
 
 /// Time after the acknowledgement within which runs may still start in the zone, as users require.
 const START_GRACE_MS: u64 = 5_000;
 
-const QUICK: Nature = Nature { work_ms: 300, fails_every: 0, crash: None };
+const QUICK: TaskBehavior = TaskBehavior { work_ms: 300, fails_every: 0, crash: None };
 
 fn request(zone: &str, evacuated: bool) -> WorkflowRequest {
     WorkflowRequest::Evacuate(EvacuateRequest {
@@ -64,9 +64,9 @@
         let steps = vec![step(4, 2, &[]), step(3, 1, &[0])];
         accepted.push((
             id,
-            world.submit(id, spec(steps), Nature { work_ms, fails_every: 0, crash: None }),
+            world.submit(id, spec(steps), TaskBehavior { work_ms, fails_every: 0, crash: None }),
         ));
-        disturb(&mut world);
+        inject_fault(&mut world);
         let vm = world.random.usize(0..3);
         let zone = zone_of(vm);
         match evacuated_zones.iter().position(|it| *it == zone) {
@@ -88,13 +88,13 @@
         let pause_ms = world.random.u64(200..2_500);
         world.run_for(pause_ms);
     }
-    world.cut.clear();
+    world.partitioned.clear();
     world.late_percent = 0;
     world.run_for(15_000);
     for zone in &evacuated_zones {
         let known = read_evacuated_zones(&mut world);
         if !known.contains(zone) {
-            world.rules.broken.push(format!("{zone} was evacuated, but is not in {known:?}"));
+            world.rules.violations.push(format!("{zone} was evacuated, but is not in {known:?}"));
         }
     }
     for zone in evacuated_zones {
@@ -109,7 +109,7 @@
         if world.answers.get(&token) == Some(&GatewayAnswer::Outcome(WorkflowOutcome::Accepted))
             && world.phase(id) != Some(WorkflowPhase::Completed)
         {
-            world.rules.broken.push(format!("workflow {id} was accepted but is not completed"));
+            world.rules.violations.push(format!("workflow {id} was accepted but is not completed"));
         }
     }
     world
@@ -117,7 +117,7 @@
 
 fn assert_unbroken(seed: u64) -> u32 {
     let world = play(seed);
-    assert!(world.rules.broken.is_empty(), "seed {seed}: {:#?}", world.rules.broken);
+    assert!(world.rules.violations.is_empty(), "seed {seed}: {:#?}", world.rules.violations);
     world.rules.starts
 }
 
@@ -131,8 +131,8 @@
 #[ignore = "long; see the module"]
 fn many_seeds_with_evacuations() {
     let count = std::env::var("ASPENRAIL_SEEDS").map_or(200, |it| it.parse().unwrap());
-    let starts: u32 = (LONG_FROM..LONG_FROM + count).map(assert_unbroken).sum();
-    println!("{count} seeds from {LONG_FROM}: {starts} starts, 0 rules broken");
+    let starts: u32 = (LONG_FIRST_SEED..LONG_FIRST_SEED + count).map(assert_unbroken).sum();
+    println!("{count} seeds from {LONG_FIRST_SEED}: {starts} starts, 0 rules broken");
 }
 
 #[test]
@@ -149,7 +149,7 @@
     world.late_percent = 0;
     world.run_for(15_000);
     assert_eq!(world.phase(1), Some(WorkflowPhase::Completed));
-    assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
+    assert!(world.rules.violations.is_empty(), "{:#?}", world.rules.violations);
 }
 
 #[test]
@@ -166,7 +166,7 @@
     world.run_for(START_GRACE_MS + 500);
     world.loses_orders = false;
     world.run_for(5_000);
-    assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
+    assert!(world.rules.violations.is_empty(), "{:#?}", world.rules.violations);
     assert_eq!(world.phase(1), Some(WorkflowPhase::Completed));
 }
 
@@ -177,7 +177,7 @@
     world.submit(
         1,
         spec(vec![step(1, 1, &[])]),
-        Nature { work_ms: 6_000, fails_every: 0, crash: None },
+        TaskBehavior { work_ms: 6_000, fails_every: 0, crash: None },
     );
     world.run_for(1_000);
     assert!(change_zone(&mut world, "zone-0", true));
--- a/tests/workflows/faults.rs
+++ b/tests/workflows/faults.rs
@@ -3,7 +3,7 @@
 use aspenrail::{gateway::GatewayAnswer, prelude::*};
 
 use crate::{
-    worker::Nature,
+    worker::TaskBehavior,
     world::{World, spec, step},
 };
 
@@ -11,9 +11,9 @@
 const SEEDS: std::ops::Range<u64> = 0..12;
 
 /// First seed of the long run, which must not repeat the seeds of CI.
-const LONG_FROM: u64 = 100_000;
+const LONG_FIRST_SEED: u64 = 100_000;
 
-const QUICK: Nature = Nature { work_ms: 400, fails_every: 0, crash: None };
+const QUICK: TaskBehavior = TaskBehavior { work_ms: 400, fails_every: 0, crash: None };
 
 /// Runs a minute of load and faults, then checks that accepted work ends when the faults are over.
 fn play(seed: u64) -> World {
@@ -29,13 +29,14 @@
         };
         let work_ms = world.random.u64(100..2_500);
         let fails_every = if id % 10 == 0 { 4 } else { 0 };
-        let token = world.submit(id, spec(steps), Nature { work_ms, fails_every, crash: None });
+        let token =
+            world.submit(id, spec(steps), TaskBehavior { work_ms, fails_every, crash: None });
         tokens.push((id, token));
-        disturb(&mut world);
+        inject_fault(&mut world);
         let pause_ms = world.random.u64(200..1_500);
         world.run_for(pause_ms);
     }
-    world.cut.clear();
+    world.partitioned.clear();
     world.late_percent = 0;
     world.run_for(40_000);
     for (id, token) in tokens {
@@ -47,7 +48,7 @@
         match world.phase(id) {
             Some(WorkflowPhase::Completed | WorkflowPhase::Failed) => (),
             other => {
-                world.rules.broken.push(format!("workflow {id} was accepted and is {other:?}"))
+                world.rules.violations.push(format!("workflow {id} was accepted and is {other:?}"))
             }
         }
     }
@@ -55,12 +56,12 @@
 }
 
 /// Injects one random fault or ends earlier ones.
-pub fn disturb(world: &mut World) {
+pub fn inject_fault(world: &mut World) {
     match world.random.u32(0..14) {
         0 | 1 => {
             let member = world.random.usize(0..3);
             let others_up = world.members.iter().enumerate().all(|(index, other)| {
-                index == member || (other.core.is_some() && !world.cut.contains(&index))
+                index == member || (other.core.is_some() && !world.partitioned.contains(&index))
             });
             // A wiped member is repaired only once it votes. Seed 100046 wiped a second disk while the
             // first one's successor was still cut off, which exceeds the tolerated faults.
@@ -76,13 +77,13 @@
         }
         2 | 3 => {
             let vm = world.random.usize(0..world.nodes.len());
-            world.cut.insert(200 + vm);
+            world.partitioned.insert(200 + vm);
         }
         4 => {
             let member = world.random.usize(0..3);
-            world.cut.insert(member);
+            world.partitioned.insert(member);
         }
-        5 | 6 => world.cut.clear(),
+        5 | 6 => world.partitioned.clear(),
         7 => {
             let vm = world.random.usize(0..world.nodes.len());
             if world.nodes[vm].worker.up {
@@ -105,7 +106,7 @@
 
 fn assert_unbroken(seed: u64) -> u32 {
     let world = play(seed);
-    assert!(world.rules.broken.is_empty(), "seed {seed}: {:#?}", world.rules.broken);
+    assert!(world.rules.violations.is_empty(), "seed {seed}: {:#?}", world.rules.violations);
     world.rules.starts
 }
 
@@ -119,8 +120,8 @@
 #[ignore = "long; see the module"]
 fn many_seeds() {
     let count = std::env::var("ASPENRAIL_SEEDS").map_or(200, |it| it.parse().unwrap());
-    let starts: u32 = (LONG_FROM..LONG_FROM + count).map(assert_unbroken).sum();
-    println!("{count} seeds from {LONG_FROM}: {starts} starts, 0 rules broken");
+    let starts: u32 = (LONG_FIRST_SEED..LONG_FIRST_SEED + count).map(assert_unbroken).sum();
+    println!("{count} seeds from {LONG_FIRST_SEED}: {starts} starts, 0 rules broken");
 }
 
 /// Wipes a disk while the successor of another wiped one is cut off; without [`all_vote`] two of
@@ -144,7 +145,7 @@
     assert_eq!(world.answers.get(&token), Some(&GatewayAnswer::Outcome(WorkflowOutcome::Accepted)));
     assert_eq!(world.phase(7), Some(WorkflowPhase::Completed));
     assert_eq!(world.rules.starts, 6);
-    assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
+    assert!(world.rules.violations.is_empty(), "{:#?}", world.rules.violations);
 }
 
 #[test]
@@ -154,7 +155,7 @@
     world.submit(
         7,
         spec(vec![step(1, 1, &[])]),
-        Nature { work_ms: 100, fails_every: 1, crash: None },
+        TaskBehavior { work_ms: 100, fails_every: 1, crash: None },
     );
     world.run_for(5_000);
     assert_eq!(world.phase(7), Some(WorkflowPhase::Failed));
@@ -168,7 +169,7 @@
     world.submit(
         7,
         spec(vec![step(6, 1, &[])]),
-        Nature { work_ms: 8_000, fails_every: 0, crash: None },
+        TaskBehavior { work_ms: 8_000, fails_every: 0, crash: None },
     );
     world.run_for(1_000);
     let leader = world.leader();
@@ -198,7 +199,7 @@
     world.submit(
         7,
         spec(vec![step(6, 1, &[])]),
-        Nature { work_ms: 8_000, fails_every: 0, crash: None },
+        TaskBehavior { work_ms: 8_000, fails_every: 0, crash: None },
     );
     world.run_for(2_000);
     assert_eq!(world.rules.starts, 6);
@@ -215,15 +216,15 @@
     world.submit(
         7,
         spec(vec![step(4, 1, &[])]),
-        Nature { work_ms: 3_000, fails_every: 0, crash: None },
+        TaskBehavior { work_ms: 3_000, fails_every: 0, crash: None },
     );
     world.run_for(500);
-    world.cut.insert(200);
+    world.partitioned.insert(200);
     world.run_for(12_000);
     assert_eq!(world.phase(7), Some(WorkflowPhase::Completed));
-    world.cut.clear();
+    world.partitioned.clear();
     world.run_for(5_000);
-    assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
+    assert!(world.rules.violations.is_empty(), "{:#?}", world.rules.violations);
 }
 
 #[test]
@@ -235,16 +236,16 @@
     world.submit(
         7,
         spec(vec![step(4, 1, &[])]),
-        Nature { work_ms: 1_000, fails_every: 0, crash: None },
+        TaskBehavior { work_ms: 1_000, fails_every: 0, crash: None },
     );
     world.run_for(300);
-    world.cut.insert(200);
+    world.partitioned.insert(200);
     world.late_percent = 0;
     world.run_for(9_000);
-    world.cut.clear();
+    world.partitioned.clear();
     world.run_for(10_000);
     assert_eq!(world.phase(7), Some(WorkflowPhase::Completed));
-    assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
+    assert!(world.rules.violations.is_empty(), "{:#?}", world.rules.violations);
 }
 
 #[test]
@@ -291,7 +292,7 @@
     world.nodes[holder.unwrap()].worker.stalls = true;
     world.run_for(9_000);
     assert_eq!(world.phase(7), Some(WorkflowPhase::Completed));
-    assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
+    assert!(world.rules.violations.is_empty(), "{:#?}", world.rules.violations);
 }
 
 #[test]
@@ -302,11 +303,15 @@
     // otherwise be idle.
     let mut filler = step(2, 40, &[]);
     filler.filler = true;
-    world.submit(7, spec(vec![filler]), Nature { work_ms: 20_000, fails_every: 0, crash: None });
+    world.submit(
+        7,
+        spec(vec![filler]),
+        TaskBehavior { work_ms: 20_000, fails_every: 0, crash: None },
+    );
     world.run_for(2_000);
     assert_eq!(world.rules.starts, 1);
     let holder = (0..3).find(|vm| 0 < world.rules.starts_on(&world.nodes[*vm].worker.name()));
-    world.cut.insert(200 + holder.unwrap());
+    world.partitioned.insert(200 + holder.unwrap());
     world.run_for(3_000);
     assert_eq!(world.rules.starts, 2, "no run that the leader knows of is live");
 }
@@ -359,7 +364,7 @@
     for id in 1..=5 {
         assert_eq!(world.phase(id), Some(WorkflowPhase::Completed), "workflow {id}");
     }
-    assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
+    assert!(world.rules.violations.is_empty(), "{:#?}", world.rules.violations);
 }
 
 /// Clients asked for completed workflows and were told that these are unknown: a wall clock had
--- a/tests/workflows/fillers.rs
+++ b/tests/workflows/fillers.rs
@@ -13,7 +13,7 @@
 const MEMORY_MIB: u32 = 10_000;
 
 /// A leader whose workers, of 64 cores by default, send the reports that a test gives them.
-pub struct Leader {
+pub struct LeaderHarness {
     cores: u32,
     pub workflows: Workflows,
     dispatcher: Dispatcher,
@@ -43,18 +43,18 @@
     res
 }
 
-impl Leader {
-    pub fn new(workers: u64) -> Leader {
-        Leader::of_cores(workers, 64)
+impl LeaderHarness {
+    pub fn new(workers: u64) -> LeaderHarness {
+        LeaderHarness::with_cores(workers, 64)
     }
 
     /// Creates a leader of workers with `cores` cores each.
-    pub fn of_cores(workers: u64, cores: u32) -> Leader {
+    pub fn with_cores(workers: u64, cores: u32) -> LeaderHarness {
         let mut workflows = Workflows::default();
         workflows.apply(&WorkflowCommand::Install(queues(1)), 1);
         let now = Now { mono_ms: 1_000, wall_ms: 1_000 };
         let dispatcher = Dispatcher::new(dispatch_options(), &workflows, 1, now);
-        let mut res = Leader {
+        let mut res = LeaderHarness {
             cores,
             workflows,
             dispatcher,
@@ -104,11 +104,11 @@
             RunningTask { run, checkpoint: "saved".into(), progress_percent: 40, load }
         });
         let running = running.collect();
-        self.tell(worker, running, Vec::new());
+        self.report_runs(worker, running, Vec::new());
     }
 
     /// Reports the running and the ended runs of a worker.
-    pub fn tell(&mut self, worker: u64, running: Vec<RunningTask>, ended: Vec<EndedRun>) {
+    pub fn report_runs(&mut self, worker: u64, running: Vec<RunningTask>, ended: Vec<EndedRun>) {
         self.number += 1;
         let name = format_compact!("worker-{worker}");
         self.report_incarnation(worker, name, self.number, running, ended);
@@ -229,7 +229,7 @@
 
 #[test]
 fn a_worker_that_enrols_is_told_its_token_at_once() {
-    let mut leader = Leader::new(0);
+    let mut leader = LeaderHarness::new(0);
     leader.report(1, &[]);
     let grant = &leader.grants[&node(1)];
     assert_eq!(grant.worker, "worker-1");
@@ -241,7 +241,7 @@
 
 #[test]
 fn what_a_leader_learned_of_images_is_known_to_the_next_one() {
-    let mut leader = Leader::new(2);
+    let mut leader = LeaderHarness::new(2);
     leader.submit(1, vec![service("web", 2, 40)]);
     leader.submit(2, vec![filler("heavy", 1, 8, 1_000)]);
     let filler_worker = leader.workers_running(2, 2)[0];
@@ -263,7 +263,7 @@
 
 #[test]
 fn a_busy_leader_is_woken_to_hand_on_what_it_learned() {
-    let mut leader = Leader::new(1);
+    let mut leader = LeaderHarness::new(1);
     // Each report postpones the next plan.
     leader.report_for(4_000, &[(1, &[])]);
     assert!(leader.dispatcher.next_tick_ms() <= leader.now_ms, "image costs are due after 3 s");
@@ -271,7 +271,7 @@
 
 #[test]
 fn images_that_serve_keep_to_few_workers() {
-    let mut leader = Leader::new(4);
+    let mut leader = LeaderHarness::new(4);
     for (id, image) in [(1, "web"), (2, "mail"), (3, "web"), (4, "mail")] {
         leader.submit(id, vec![service(image, 2, 12)]);
     }
@@ -282,7 +282,7 @@
 
 #[test]
 fn a_halted_filler_goes_on_where_there_is_room() {
-    let mut leader = Leader::new(1);
+    let mut leader = LeaderHarness::new(1);
     leader.submit(1, vec![service("web", 1, 12)]);
     leader.submit(2, vec![filler("batch", 1, 8, 1_000)]);
     assert_eq!(leader.workers_running(2, 1), [1]);
@@ -296,7 +296,7 @@
 
 #[test]
 fn a_filler_at_work_stays_where_it_is() {
-    let mut leader = Leader::new(2);
+    let mut leader = LeaderHarness::new(2);
     leader.submit(1, vec![service("web", 1, 12)]);
     leader.submit(2, vec![filler("batch", 1, 8, 1_000)]);
     leader.report_for(3_000, &[(1, &[(1, 20), (2, 8_000)]), (2, &[(1, 20), (2, 8_000)])]);
@@ -305,7 +305,7 @@
 
 #[test]
 fn a_filler_begins_only_where_a_service_leaves_it_its_full_speed() {
-    let mut leader = Leader::new(1);
+    let mut leader = LeaderHarness::new(1);
     leader.submit(1, vec![service("web", 1, 40)]);
     // A tail latency of 30 ms with a target of 50 ms: 166 % headroom, of which an unknown filler may
     // use 32.
@@ -324,7 +324,7 @@
 /// network partition, arrives afterwards. It must not replace the current worker and its runs.
 #[test]
 fn a_late_report_of_an_earlier_lifetime_takes_nobodys_place() {
-    let mut leader = Leader::new(1);
+    let mut leader = LeaderHarness::new(1);
     let last_number = leader.number;
     leader.report_incarnation(1, "worker-1-later".into(), last_number + 2, Vec::new(), Vec::new());
     leader.report_incarnation(1, "worker-1-later".into(), last_number + 3, Vec::new(), Vec::new());
--- a/tests/workflows/gateway.rs
+++ b/tests/workflows/gateway.rs
@@ -6,11 +6,11 @@
 };
 
 use crate::{
-    worker::Nature,
+    worker::TaskBehavior,
     world::{World, queues, spec, step, target},
 };
 
-const QUICK: Nature = Nature { work_ms: 100, fails_every: 0, crash: None };
+const QUICK: TaskBehavior = TaskBehavior { work_ms: 100, fails_every: 0, crash: None };
 
 #[test]
 fn before_a_configuration_nothing_is_taken() {
@@ -38,7 +38,7 @@
     );
     world.run_for(10_000);
     assert_eq!(world.phase(7), None, "accepted although the client got a rejection");
-    assert!(!world.rules.has_begun(7));
+    assert!(!world.rules.has_started_workflow(7));
     assert_eq!(world.rules.starts, 0);
 }
 
@@ -129,7 +129,7 @@
     world.submit(
         7,
         spec(vec![step(2, 1, &[]), step(2, 1, &[0])]),
-        Nature { work_ms: 3_000, fails_every: 0, crash: None },
+        TaskBehavior { work_ms: 3_000, fails_every: 0, crash: None },
     );
     world.run_for(1_000);
     world.request(WorkflowRequest::Cancel(target(7)));
--- a/tests/workflows/held_runs.rs
+++ b/tests/workflows/held_runs.rs
@@ -2,7 +2,7 @@
 
 use aspenrail::prelude::*;
 
-use crate::{fillers::Leader, world::step};
+use crate::{fillers::LeaderHarness, world::step};
 
 /// Time until the next plan is made.
 const PLAN_MS: u64 = 20;
@@ -12,14 +12,14 @@
 /// worker blocks it before the task starts again.
 #[test]
 fn a_run_that_is_no_longer_listed_is_barred_and_begins_again() {
-    let mut leader = Leader::new(1);
+    let mut leader = LeaderHarness::new(1);
     let mut long_running = step(1, 2, &[]);
     long_running.lasting = true;
     leader.submit(1, vec![long_running]);
     let first = leader.runs_on(1);
     leader.report(1, &[]);
     assert_eq!(leader.stops, []);
-    leader.tell(1, Vec::new(), Vec::new());
+    leader.report_runs(1, Vec::new(), Vec::new());
     assert_eq!(leader.stops, first);
     leader.report_refusal(1, first[0]);
     leader.advance(PLAN_MS);
@@ -30,12 +30,12 @@
 /// not be the one in the log, so its lease must expire before its runs start on other workers.
 #[test]
 fn a_worker_known_by_its_id_alone_keeps_its_runs_for_its_lease() {
-    let mut leader = Leader::new(1);
+    let mut leader = LeaderHarness::new(1);
     leader.submit(1, vec![step(1, 2, &[])]);
     let runs = leader.runs_on(1);
     assert_eq!(runs.len(), 1);
     let number = leader.number;
-    let report_with_start = |leader: &mut Leader, number: u64| {
+    let report_with_start = |leader: &mut LeaderHarness, number: u64| {
         let name = "worker-1@1700000000000".into();
         leader.report_incarnation(1, name, number, Vec::new(), Vec::new());
     };
@@ -53,7 +53,7 @@
 /// after its own. It names an incarnation that has ended, which must not replace the current one.
 #[test]
 fn a_late_report_of_a_nodes_process_before_changes_nothing() {
-    let mut leader = Leader::new(1);
+    let mut leader = LeaderHarness::new(1);
     let late_number = leader.number + 1;
     leader.boot = 2;
     leader.report_incarnation(1, "worker-1@2".into(), 1, Vec::new(), Vec::new());
--- a/tests/workflows/late_ends.rs
+++ b/tests/workflows/late_ends.rs
@@ -15,7 +15,7 @@
 use aspenrail::prelude::*;
 
 use crate::{
-    worker::Nature,
+    worker::TaskBehavior,
     world::{World, spec, step},
 };
 
@@ -28,8 +28,8 @@
 /// Longer than any lease.
 const LONGER_THAN_LEASE_MS: u64 = 5_000;
 
-fn failing(work_ms: u64) -> Nature {
-    Nature { work_ms, fails_every: 1, crash: None }
+fn failing(work_ms: u64) -> TaskBehavior {
+    TaskBehavior { work_ms, fails_every: 1, crash: None }
 }
 
 /// Creates a world with a workflow of one task whose runs all fail, and waits for the first run to
@@ -56,8 +56,8 @@
 fn assert_failed_after_allowed_failures(world: &mut World) {
     world.run_for(15_000);
     assert_eq!(world.phase(7), Some(WorkflowPhase::Failed));
-    assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
-    assert_eq!(world.rules.failures_most(7), 3);
+    assert!(world.rules.violations.is_empty(), "{:#?}", world.rules.violations);
+    assert_eq!(world.rules.failures_max(7), 3);
 }
 
 /// The leader has the end, but its acknowledgement does not reach the node. The worker's lease lapses,
@@ -68,9 +68,9 @@
     while unsettled_failures(&world) == 0 {
         world.run_for(1);
     }
-    world.cut.insert(200 + run_vm);
+    world.partitioned.insert(200 + run_vm);
     world.run_for(LONGER_THAN_LEASE_MS);
-    world.cut.clear();
+    world.partitioned.clear();
     assert_failed_after_allowed_failures(&mut world);
 }
 
@@ -79,9 +79,9 @@
 #[test]
 fn an_end_that_comes_after_its_lease_does_not_count() {
     let (mut world, run_vm) = start_failing_workflow(32, 1_500);
-    world.freeze_node(run_vm);
+    world.pause_node(run_vm);
     world.run_for(LONGER_THAN_LEASE_MS);
-    world.thaw_nodes();
+    world.resume_nodes();
     assert_failed_after_allowed_failures(&mut world);
 }
 
@@ -109,19 +109,19 @@
     for id in 1..=40 {
         let work_ms = world.random.u64(20..1_500);
         let fails_every = world.random.u32(1..4);
-        let nature = Nature { work_ms, fails_every, crash: None };
+        let nature = TaskBehavior { work_ms, fails_every, crash: None };
         world.submit(id, spec(vec![step(4, 1, &[]), step(3, 2, &[0])]), nature);
         match world.random.u32(0..8) {
             0..=2 => {
                 let vm = world.random.usize(0..6);
-                world.cut.insert(200 + vm);
+                world.partitioned.insert(200 + vm);
             }
             3 => {
                 let vm = world.random.usize(0..6);
-                world.freeze_node(vm);
+                world.pause_node(vm);
             }
-            4 => world.cut.clear(),
-            5 => world.thaw_nodes(),
+            4 => world.partitioned.clear(),
+            5 => world.resume_nodes(),
             6 if world.random.u32(0..3) == 0 => {
                 let leader = world
                     .members
@@ -136,8 +136,8 @@
         let pause_ms = world.random.u64(200..1_500);
         world.run_for(pause_ms);
     }
-    world.cut.clear();
-    world.thaw_nodes();
+    world.partitioned.clear();
+    world.resume_nodes();
     world.run_for(40_000);
     for id in 1..=40 {
         world.phase(id);
@@ -146,7 +146,7 @@
 }
 
 fn broken_invariants(seed: u64) -> Vec<String> {
-    simulate(seed).rules.broken
+    simulate(seed).rules.violations
 }
 
 #[test]
--- a/tests/workflows/node_restarts.rs
+++ b/tests/workflows/node_restarts.rs
@@ -10,8 +10,8 @@
 };
 
 use crate::{
-    rules::Ledger,
-    worker::{FakeWorker, Nature},
+    rules::InvariantChecker,
+    worker::{FakeWorker, TaskBehavior},
     world::{address, spec, step},
 };
 
@@ -46,8 +46,8 @@
     node: NodeCore,
     boot: u64,
     worker: FakeWorker,
-    rules: Ledger,
-    nature: BTreeMap<u64, Nature>,
+    rules: InvariantChecker,
+    nature: BTreeMap<u64, TaskBehavior>,
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
     desired: BTreeSet<RunRef>,
@@ -58,7 +58,7 @@
 
 impl Simulation {
     fn new(seed: u64) -> Simulation {
-        let mut rules = Ledger::new(3);
+        let mut rules = InvariantChecker::new(3);
         rules.submitted.insert(1, spec(vec![step(100, 1, &[])]));
         Simulation {
             now_ms: 10_000,
@@ -67,7 +67,10 @@
             boot: 1,
             worker: FakeWorker::new(0),
             rules,
-            nature: BTreeMap::from([(1, Nature { work_ms: WORK_MS, fails_every: 0, crash: None })]),
+            nature: BTreeMap::from([(
+                1,
+                TaskBehavior { work_ms: WORK_MS, fails_every: 0, crash: None },
+            )]),
             events: BTreeMap::new(),
             next_event: 0,
             desired: BTreeSet::new(),
--- a/tests/workflows/rules.rs
+++ b/tests/workflows/rules.rs
@@ -12,7 +12,7 @@
 
 /// Events that workers and clients observed, and the invariants that these violate.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct InvariantChecker {
     pub submitted: BTreeMap<u64, WorkflowSpec>,
     live_runs: BTreeMap<TaskRef, (RunRef, CompactString)>,
     done: BTreeSet<TaskRef>,
@@ -32,12 +32,12 @@
     starts_after_crashes: BTreeMap<TaskRef, u32>,
     /// Times from which no run may start in a zone.
     closed_from_ms: BTreeMap<CompactString, u64>,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
-impl Ledger {
-    pub fn new(attempts_max: u32) -> Ledger {
-        Ledger { attempts_max, ..Ledger::default() }
+impl InvariantChecker {
+    pub fn new(attempts_max: u32) -> InvariantChecker {
+        InvariantChecker { attempts_max, ..InvariantChecker::default() }
     }
 
     pub fn record_start(&mut self, run: RunRef, worker: &str, now_ms: u64) {
@@ -46,7 +46,7 @@
         *self.starts_by_worker.entry(worker.into()).or_insert(0) += 1;
         let Some(spec) = self.submitted.get(&run.task.workflow.0) else {
             return self
-                .broken
+                .violations
                 .push(format!("{now_ms}: {run:?} starts, but its workflow was never submitted"));
         };
         for dependency in &spec.steps[run.task.step as usize].after {
@@ -54,27 +54,28 @@
             let all_done = (0..count)
                 .all(|index| self.done.contains(&TaskRef { step: *dependency, index, ..run.task }));
             if !all_done {
-                self.broken
+                self.violations
                     .push(format!("{now_ms}: {run:?} starts before step {dependency} is done"));
             }
         }
         if let Some((other, other_worker)) = self.live_runs.get(&run.task) {
-            self.broken.push(format!(
+            self.violations.push(format!(
                 "{now_ms}: {run:?} starts on {worker} while {other:?} runs on {other_worker}"
             ));
         }
         if self.noted_done.contains(&run.task) {
-            self.broken
+            self.violations
                 .push(format!("{now_ms}: {run:?} starts although the task is noted as done"));
         }
         if self.attempts_max <= self.noted_failures.get(&run.task).copied().unwrap_or(0) {
-            self.broken.push(format!("{now_ms}: {run:?} starts although its attempts are used up"));
+            self.violations
+                .push(format!("{now_ms}: {run:?} starts although its attempts are used up"));
         }
         if CRASHES_MAX <= self.crashes_by_task.get(&run.task).copied().unwrap_or(0) {
             let starts = self.starts_after_crashes.entry(run.task).or_insert(0);
             *starts += 1;
             if CRASHES_MAX <= *starts {
-                self.broken.push(format!(
+                self.violations.push(format!(
                     "{now_ms}: {run:?} is start {starts} after {CRASHES_MAX} crashes"
                 ));
             }
@@ -109,12 +110,12 @@
     /// Checks that a run does not start in a closed zone.
     pub fn check_start_zone(&mut self, zone: &str, run: RunRef, now_ms: u64) {
         if self.closed_from_ms.get(zone).is_some_and(|it| *it < now_ms) {
-            self.broken.push(format!("{now_ms}: {run:?} starts in {zone}, which is evacuated"));
+            self.violations.push(format!("{now_ms}: {run:?} starts in {zone}, which is evacuated"));
         }
     }
 
     /// Returns the number of running tasks.
-    pub fn at_work(&self) -> usize {
+    pub fn running_task_count(&self) -> usize {
         self.live_runs.len()
     }
 
@@ -133,7 +134,7 @@
     }
 
     /// Returns whether any worker started a run of a workflow.
-    pub fn has_begun(&self, id: u64) -> bool {
+    pub fn has_started_workflow(&self, id: u64) -> bool {
         self.started_runs.iter().any(|it| it.task.workflow.0 == id)
     }
 
@@ -175,9 +176,9 @@
     }
 
     /// Checks the phase of a workflow that a client received.
-    pub fn told(&mut self, id: u64, phase: WorkflowPhase) {
+    pub fn check_phase(&mut self, id: u64, phase: WorkflowPhase) {
         let Some(spec) = self.submitted.get(&id) else {
-            return self.broken.push(format!("{id} is shown but was never submitted"));
+            return self.violations.push(format!("{id} is shown but was never submitted"));
         };
         let tasks = spec.steps.iter().enumerate().flat_map(|(step, it)| {
             (0..it.count).map(move |index| TaskRef {
@@ -190,20 +191,21 @@
         if phase == WorkflowPhase::Completed
             && let Some(task) = tasks.into_iter().find(|it| !self.done.contains(it))
         {
-            self.broken.push(format!("{id} is shown as completed, but {task:?} is not done"));
+            self.violations.push(format!("{id} is shown as completed, but {task:?} is not done"));
         }
         let may_be_given_up =
             CRASHES_MIN <= self.lost_runs_by_workflow.get(&id).copied().unwrap_or(0);
-        let failures = self.failures_most(id);
+        let failures = self.failures_max(id);
         if phase == WorkflowPhase::Failed && !may_be_given_up && failures < self.attempts_max {
             let max = self.attempts_max;
-            self.broken.push(format!("{id} is shown as failed after {failures} failures of {max}"));
+            self.violations
+                .push(format!("{id} is shown as failed after {failures} failures of {max}"));
         }
     }
 
     /// Returns the highest number of failures of any task or gang of a workflow. A start of a gang
     /// counts as one failure, however many of its members fail.
-    pub fn failures_most(&self, id: u64) -> u32 {
+    pub fn failures_max(&self, id: u64) -> u32 {
         let steps = &self.submitted[&id].steps;
         let mut starts: BTreeSet<(u32, Option<u32>, u32)> = BTreeSet::new();
         for run in self.failed_runs.iter().filter(|it| it.task.workflow.0 == id) {
--- a/tests/workflows/same_id.rs
+++ b/tests/workflows/same_id.rs
@@ -14,11 +14,11 @@
 use aspenrail::prelude::*;
 
 use crate::{
-    worker::Nature,
+    worker::TaskBehavior,
     world::{World, spec, step},
 };
 
-const LONG: Nature = Nature { work_ms: 600_000, fails_every: 0, crash: None };
+const LONG: TaskBehavior = TaskBehavior { work_ms: 600_000, fails_every: 0, crash: None };
 
 /// Time within which a long-running task must run again, as users require.
 const RESTART_MAX_MS: u64 = 6_000;
@@ -33,7 +33,7 @@
 }
 
 fn assert_unbroken(world: &World) {
-    assert!(world.rules.broken.is_empty(), "{:#?}", world.rules.broken);
+    assert!(world.rules.violations.is_empty(), "{:#?}", world.rules.violations);
 }
 
 /// Runs long-running tasks on four workers, some of which crash twice. All tasks must run again after
@@ -53,10 +53,10 @@
     for _ in 0..2 {
         // Longer than the age at which a run is no longer suspected of a crash.
         world.run_for(15_000);
-        assert_eq!(world.rules.at_work(), TASKS as usize);
+        assert_eq!(world.rules.running_task_count(), TASKS as usize);
         crashing.iter().for_each(|vm| world.crash_worker(*vm, down_ms));
         world.run_for(down_ms + RESTART_MAX_MS);
-        assert_eq!(world.rules.at_work(), TASKS as usize);
+        assert_eq!(world.rules.running_task_count(), TASKS as usize);
     }
     assert_unbroken(&world);
 }
@@ -74,7 +74,7 @@
     world.keeps_ids = Some(true);
     world.install_queue();
     for id in 1..=40 {
-        let nature = Nature { work_ms: 400, fails_every: 0, crash: None };
+        let nature = TaskBehavior { work_ms: 400, fails_every: 0, crash: None };
         world.submit(id, spec(vec![step(4, 1, &[]), step(3, 2, &[0])]), nature);
         world.run_for(400);
         if id % 3 == 0 {
--- a/tests/workflows/worker.rs
+++ b/tests/workflows/worker.rs
@@ -8,7 +8,7 @@
     prelude::*,
 };
 
-use crate::rules::Ledger;
+use crate::rules::InvariantChecker;
 
 pub const CAPACITY: Resources =
     Resources { cpu_millicores: 16_000, memory_mib: 32_000, accelerators: 0 };
@@ -22,7 +22,7 @@
 
 /// Run time and outcome of the tasks of a workflow, known to the simulated workers only.
 #[derive(Clone, Copy, Debug)]
-pub struct Nature {
+pub struct TaskBehavior {
     pub work_ms: u64,
     /// Every n-th run fails; 0 means that none does.
     pub fails_every: u32,
@@ -37,7 +37,7 @@
     pub after_ms: u64,
 }
 
-impl Nature {
+impl TaskBehavior {
     /// Returns when a run crashes its worker, if it does.
     fn crashes_ms(&self, run: RunRef, began_ms: u64) -> Option<u64> {
         self.crash.filter(|it| it.index == run.task.index).map(|it| began_ms + it.after_ms)
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub struct FakeWorker {
     pub vm: usize,
-    pub lifetime: u32,
+    pub incarnation: u32,
     /// Incremented by each incarnation that has a new id.
     id_number: u32,
     /// Start time of the incarnation, in Unix milliseconds.
@@ -95,7 +95,7 @@
     pub fn new(vm: usize) -> FakeWorker {
         FakeWorker {
             vm,
-            lifetime: 0,
+            incarnation: 0,
             id_number: 0,
             started_unix_ms: FIRST_START_UNIX_MS + vm as u64,
             clock_start_ms: 0,
@@ -120,7 +120,7 @@
 
     /// Returns a name that is unique to this incarnation, for the checkers.
     pub fn name(&self) -> CompactString {
-        format_compact!("worker-{}-{}", self.vm, self.lifetime)
+        format_compact!("worker-{}-{}", self.vm, self.incarnation)
     }
 
     /// Returns the id of the worker, which an earlier incarnation may have had.
@@ -129,10 +129,10 @@
     }
 
     /// Crashes the worker: it loses all runs and all its state.
-    pub fn crash(&mut self, keeps_id: bool, rules: &mut Ledger) {
+    pub fn crash(&mut self, keeps_id: bool, rules: &mut InvariantChecker) {
         rules.record_worker_crash(&self.name(), self.running.keys());
         *self = FakeWorker {
-            lifetime: self.lifetime + 1,
+            incarnation: self.incarnation + 1,
             id_number: self.id_number + u32::from(!keeps_id),
             up: false,
             checks_capacity: self.checks_capacity,
@@ -192,19 +192,23 @@
     }
 
     /// Returns the resources in use if `run` is added.
-    fn used_with(&self, run: RunRef, rules: &Ledger) -> Resources {
+    fn used_with(&self, run: RunRef, rules: &InvariantChecker) -> Resources {
         let runs = self.running.keys().copied().chain(std::iter::once(run));
         runs.filter_map(|it| rules.reservation_of(it)).fold(NO_RESOURCES, add)
     }
 
     /// Returns the reading of the worker's clock, which has its own offset.
     fn clock(&self, now_ms: u64) -> u64 {
-        let offset_ms = if self.lifetime == 0 { 1_000_000 * (self.vm as u64 + 1) } else { 1 };
+        let offset_ms = if self.incarnation == 0 { 1_000_000 * (self.vm as u64 + 1) } else { 1 };
         now_ms - self.clock_start_ms + offset_ms
     }
 
     /// Returns a run that crashes the worker now.
-    pub fn crashing_run(&self, now_ms: u64, nature: &BTreeMap<u64, Nature>) -> Option<RunRef> {
+    pub fn crashing_run(
+        &self,
+        now_ms: u64,
+        nature: &BTreeMap<u64, TaskBehavior>,
+    ) -> Option<RunRef> {
         let is_due = |(run, it): &(&RunRef, &Running)| {
             let crashes_ms = nature[&run.task.workflow.0].crashes_ms(**run, it.began_ms);
             crashes_ms.is_some_and(|it| it <= now_ms)
@@ -213,7 +217,12 @@
     }
 
     /// Ends the runs that are due, and all runs if the lease has expired.
-    pub fn tick(&mut self, now_ms: u64, nature: &BTreeMap<u64, Nature>, rules: &mut Ledger) {
+    pub fn tick(
+        &mut self,
+        now_ms: u64,
+        nature: &BTreeMap<u64, TaskBehavior>,
+        rules: &mut InvariantChecker,
+    ) {
         if self.lease_until_ms < self.clock(now_ms) {
             let lapsed: Vec<_> = self.running.keys().copied().collect();
             for run in lapsed {
@@ -241,7 +250,7 @@
         }
     }
 
-    fn end(&mut self, run: RunRef, outcome: RunOutcome, rules: &mut Ledger) {
+    fn end(&mut self, run: RunRef, outcome: RunOutcome, rules: &mut InvariantChecker) {
         self.running.remove(&run);
         rules.record_end(run, outcome);
         let end = RunEnd { run, outcome, checkpoint: CompactString::default() };
@@ -254,8 +263,8 @@
         &mut self,
         call: &WorkerCall,
         now_ms: u64,
-        nature: &BTreeMap<u64, Nature>,
-        rules: &mut Ledger,
+        nature: &BTreeMap<u64, TaskBehavior>,
+        rules: &mut InvariantChecker,
     ) -> CallResult {
         let clock_ms = self.clock(now_ms);
         if call.worker != self.id() {
@@ -308,8 +317,8 @@
         run: RunRef,
         lease_until_ms: u64,
         now_ms: u64,
-        nature: &BTreeMap<u64, Nature>,
-        rules: &mut Ledger,
+        nature: &BTreeMap<u64, TaskBehavior>,
+        rules: &mut InvariantChecker,
     ) -> CallResult {
         let clock_ms = self.clock(now_ms);
         if self.running.contains_key(&run) {
@@ -328,7 +337,7 @@
         }
         if !self.is_late && !fits(used, self.allowed_usage(now_ms)) {
             let allowed = self.allowed_usage(now_ms);
-            rules.broken.push(format!(
+            rules.violations.push(format!(
                 "{now_ms}: {run:?} makes {} use {used:?}, more than {allowed:?}",
                 self.name()
             ));
--- a/tests/workflows/world.rs
+++ b/tests/workflows/world.rs
@@ -20,8 +20,8 @@
 
 use crate::{
     disk::FakeDisk,
-    rules::Ledger,
-    worker::{FakeWorker, Nature},
+    rules::InvariantChecker,
+    worker::{FakeWorker, TaskBehavior},
 };
 
 const GROUP_ID: Place = Place { region: 1, group: 1 };
@@ -107,8 +107,8 @@
     pub members: Vec<Member>,
     pub nodes: Vec<Node>,
     pub gateway: GatewayCore,
-    pub rules: Ledger,
-    pub nature: BTreeMap<u64, Nature>,
+    pub rules: InvariantChecker,
+    pub nature: BTreeMap<u64, TaskBehavior>,
     pub answers: BTreeMap<u64, GatewayAnswer>,
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
@@ -118,7 +118,7 @@
     /// Members whose disk refuses writes, with the number of the newest refused write, or 0.
     refused_writes: BTreeMap<usize, u64>,
     /// Processes that are disconnected from all others.
-    pub cut: BTreeSet<usize>,
+    pub partitioned: BTreeSet<usize>,
     /// VMs whose node process is suspended, with the inputs that wait until it resumes.
     pub frozen: BTreeMap<usize, Vec<node::Input>>,
     /// Percentage of orders to workers that get no answer and are executed late.
@@ -155,7 +155,7 @@
             members: Vec::new(),
             nodes: Vec::new(),
             gateway: GatewayCore::new(options),
-            rules: Ledger::new(3),
+            rules: InvariantChecker::new(3),
             nature: BTreeMap::new(),
             answers: BTreeMap::new(),
             events: BTreeMap::new(),
@@ -163,7 +163,7 @@
             next_token: 0,
             wall_ahead_ms: 0,
             refused_writes: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             frozen: BTreeMap::new(),
             late_percent: 0,
             loses_orders: false,
@@ -278,12 +278,12 @@
     }
 
     /// Suspends the node process of a VM.
-    pub fn freeze_node(&mut self, vm: usize) {
+    pub fn pause_node(&mut self, vm: usize) {
         self.frozen.entry(vm).or_default();
     }
 
     /// Resumes all suspended nodes, which handle the inputs that arrived meanwhile.
-    pub fn thaw_nodes(&mut self) {
+    pub fn resume_nodes(&mut self) {
         for (vm, inputs) in std::mem::take(&mut self.frozen) {
             inputs.into_iter().for_each(|it| self.handle_node_input(vm, it));
         }
@@ -324,7 +324,7 @@
         token
     }
 
-    pub fn submit(&mut self, id: u64, spec: WorkflowSpec, nature: Nature) -> u64 {
+    pub fn submit(&mut self, id: u64, spec: WorkflowSpec, nature: TaskBehavior) -> u64 {
         self.rules.submitted.insert(id, spec.clone());
         self.nature.insert(id, nature);
         self.request(WorkflowRequest::Submit(WorkflowSubmission { target: target(id), spec }))
@@ -381,7 +381,7 @@
             Event::LateCall { vm, incarnation, call } => {
                 let worker = &self.nodes[vm].worker;
                 // Orders of an incarnation that has crashed are never executed.
-                if worker.up && worker.lifetime == incarnation {
+                if worker.up && worker.incarnation == incarnation {
                     self.execute_call(vm, &call, true);
                 }
             }
@@ -444,7 +444,9 @@
 
     fn deliver(&mut self, to: SocketAddr, from: SocketAddr, message: Message) {
         let process = usize::from(to.port()) - 1_000;
-        if self.cut.contains(&process) || self.cut.contains(&(usize::from(from.port()) - 1_000)) {
+        if self.partitioned.contains(&process)
+            || self.partitioned.contains(&(usize::from(from.port()) - 1_000))
+        {
             return;
         }
         match process {
@@ -505,7 +507,7 @@
                         self.push(500, Event::Result { vm, boot, id, result });
                     } else if is_order && self.random.u32(0..100) < self.late_percent {
                         let late_ms = self.random.u64(1_000..8_000);
-                        let incarnation = self.nodes[vm].worker.lifetime;
+                        let incarnation = self.nodes[vm].worker.incarnation;
                         self.push(late_ms, Event::LateCall { vm, incarnation, call });
                         self.push(
                             500,
@@ -550,7 +552,7 @@
             self.run_for(1_000);
             match self.answers.remove(&token) {
                 Some(GatewayAnswer::Outcome(WorkflowOutcome::Phase(it))) => {
-                    self.rules.told(id, it);
+                    self.rules.check_phase(id, it);
                     return Some(it);
                 }
                 Some(GatewayAnswer::Outcome(WorkflowOutcome::Gone)) => return None,
