--- a/src/agent/core/mod.rs
+++ b/src/agent/core/mod.rs
@@ -274,7 +274,7 @@
             self.begin_leaving(now, number);
         }
         self.endpoints.remove_drained();
-        self.entries.retain(|_, last_request_ms| now.mono_ms < *last_request_ms + 60_000);
+        self.entries.retain(|_, last_asked_ms| now.mono_ms < *last_asked_ms + 60_000);
     }
 
     fn capacity(&self) -> Resources {
